--- a/src/scheduler/__tests__/ask.spec.ts
+++ b/src/scheduler/__tests__/ask.spec.ts
@@ -2,22 +2,22 @@
 import { describe, it } from '../../../test/describe.js'
 import type { OrderFailure } from '../../ports/index.js'
 import { PlatformError, createRoundTrip, sleep } from '../../shared/index.js'
-import { ask } from '../ask.js'
+import { callWithRetries } from '../ask.js'
 import { ANSWER_TIMEOUT_MS, MIN_ANSWER_MS } from '../constants.js'
 
-const failed = (failure: OrderFailure) => {
+const failedResult = (failure: OrderFailure) => {
   const props = { step: 'orders.start', peer: 't1', failure: 'unknown' as const }
   return err({ failure, reason: failure, cause: new PlatformError(failure, { props }) })
 }
 
 /** A target that answers in 1 ms; its last answers are the ones given. */
-function startAsking(results: unknown[]) {
+function createFakeTarget(results: unknown[]) {
   const roundTrip = createRoundTrip({ leastMs: MIN_ANSWER_MS, mostMs: ANSWER_TIMEOUT_MS })
   roundTrip.note(1)
   const timeouts: number[] = []
   const send = async (timeoutMs: number) => {
     timeouts.push(timeoutMs)
-    const res = results.shift() as ReturnType<typeof failed>
+    const res = results.shift() as ReturnType<typeof failedResult>
     if (res.isErr() && res.error.failure === 'unanswered') await sleep(timeoutMs)
     return res
   }
@@ -26,36 +26,38 @@
 
 describe('ask', () => {
   it('calls again where an answer is missing, each time with more patience', async (t) => {
-    const { roundTrip, timeouts, send } = startAsking([
-      failed('unanswered'),
-      failed('unanswered'),
+    const { roundTrip, timeouts, send } = createFakeTarget([
+      failedResult('unanswered'),
+      failedResult('unanswered'),
       ok(true),
     ])
-    const { res, lost } = await ask({ roundTrip, send })
+    const { res, unansweredCalls } = await callWithRetries({ roundTrip, send })
     t.true(res.isOk())
-    t.is(lost, 2)
+    t.is(unansweredCalls, 2)
     t.deepEqual(timeouts.slice(0, 2), [MIN_ANSWER_MS, MIN_ANSWER_MS * 2])
   })
 
   it('takes a target for silent no later than with one call', async (t) => {
-    const { roundTrip, timeouts, send } = startAsking(Array(9).fill(failed('unanswered')))
-    const { res } = await ask({ roundTrip, send })
+    const { roundTrip, timeouts, send } = createFakeTarget(
+      Array(9).fill(failedResult('unanswered')),
+    )
+    const { res } = await callWithRetries({ roundTrip, send })
     t.true(res.isErr())
     t.true(timeouts.reduce((sum, ms) => sum + ms) <= ANSWER_TIMEOUT_MS)
   })
 
   for (const failure of ['gone', 'fenced', 'notDone'] as const) {
     it(`asks once where the answer is that it is ${failure}`, async (t) => {
-      const { roundTrip, timeouts, send } = startAsking([failed(failure)])
-      const { lost } = await ask({ roundTrip, send })
+      const { roundTrip, timeouts, send } = createFakeTarget([failedResult(failure)])
+      const { unansweredCalls } = await callWithRetries({ roundTrip, send })
       t.is(timeouts.length, 1)
-      t.is(lost, 0)
+      t.is(unansweredCalls, 0)
     })
   }
 
   it('asks no more once the answer is not wanted', async (t) => {
-    const { roundTrip, timeouts, send } = startAsking([failed('unanswered')])
-    await ask({ roundTrip, send, mayAskAgain: () => false })
+    const { roundTrip, timeouts, send } = createFakeTarget([failedResult('unanswered')])
+    await callWithRetries({ roundTrip, send, mayRetry: () => false })
     t.is(timeouts.length, 1)
   })
 })
--- a/src/scheduler/__tests__/cancelledRuns.spec.ts
+++ b/src/scheduler/__tests__/cancelledRuns.spec.ts
@@ -12,15 +12,15 @@
 const STOP_LIMIT_MS = 2500
 
 /** Runs that have begun and not ended. */
-const present = ({ ledger }: JobRig): number =>
+const countRunning = ({ ledger }: JobRig): number =>
   ledger.entries.reduce((sum, { what }) => sum + (what === 'start' ? 1 : -1), 0)
 
 /** Whether nothing runs, now and after as long as an order may come late. */
-async function comesToRest(rig: JobRig): Promise<boolean> {
+async function allRunsStop(rig: JobRig): Promise<boolean> {
   await sleep(LATE_MS + 300)
   const endsAt = performance.now() + STOP_LIMIT_MS
-  while (present(rig) > 0 && performance.now() < endsAt) await sleep(20)
-  return present(rig) === 0
+  while (countRunning(rig) > 0 && performance.now() < endsAt) await sleep(20)
+  return countRunning(rig) === 0
 }
 
 describe('run of a cancelled job', () => {
@@ -34,7 +34,7 @@
     await sleep(200)
     t.true(owner.cancel(job.id))
     target.faults.lateMs = 0
-    t.true(await comesToRest(rig))
+    t.true(await allRunsStop(rig))
     await rig.stop()
   })
 
@@ -49,7 +49,7 @@
     await first.stop(false)
     const second = await rig.own()
     second.cancel(job.id)
-    t.true(await comesToRest(rig))
+    t.true(await allRunsStop(rig))
     await rig.stop()
   })
 
@@ -65,7 +65,7 @@
     first.live = false
     const second = await rig.own()
     second.cancel(job.id)
-    t.true(await comesToRest(rig))
+    t.true(await allRunsStop(rig))
     await rig.stop()
   })
 })
--- a/src/scheduler/__tests__/crashingTasks.spec.ts
+++ b/src/scheduler/__tests__/crashingTasks.spec.ts
@@ -8,7 +8,7 @@
 /** Time after which a crashed target comes back under a new id, in ms. */
 const RESTART_MS = 400
 /** Time limit for jobs to settle, in ms. */
-const PATIENCE_MS = 8000
+const SETTLE_TIMEOUT_MS = 8000
 /** Most starts of a task that crashes each target: two more are allowed after three crashes. */
 const MAX_STARTS = 5
 
@@ -27,19 +27,19 @@
 ): CrashRig {
   const rig = createJobRig()
   t.teardown(() => rig.stop())
-  let lives = 0
+  let addedCount = 0
   let minTargets = poolSize
-  const addLife = (): void => {
-    lives++
-    rig.addTarget(`life-${lives}`)
+  const addTarget = (): void => {
+    addedCount++
+    rig.addTarget(`life-${addedCount}`)
   }
   rig.crashed = (id) => {
     rig.targets.delete(id)
     rig.unlist(id)
     minTargets = Math.min(minTargets, rig.targets.size)
-    setTimeout(addLife, restartMs).unref()
+    setTimeout(addTarget, restartMs).unref()
   }
-  for (let each = 0; each < poolSize; each++) addLife()
+  for (let each = 0; each < poolSize; each++) addTarget()
   return Object.assign(rig, {
     minTargets: () => minTargets,
     startsOf: (name: string) =>
@@ -67,7 +67,7 @@
     const owner = await rig.own()
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -86,7 +86,7 @@
       await sleep(150)
       if (crashing[index]) rig.submit(owner, crashing[index])
     }
-    t.true(await rig.settled([...neighbours, ...crashing], 2 * PATIENCE_MS))
+    t.true(await rig.settled([...neighbours, ...crashing], 2 * SETTLE_TIMEOUT_MS))
     t.deepEqual([...new Set(neighbours.map(rig.outcomeOf))], ['completed'])
     t.deepEqual([...new Set(crashing.map(rig.outcomeOf))], ['failed'])
   })
@@ -96,7 +96,7 @@
     const owner = await rig.own()
     const job = makeJob({ ms: 700, cpu: 1000, crashMs: 5 }, [{ count: 8 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.minTargets() >= POOL_SIZE / 2)
   })
@@ -107,13 +107,13 @@
     let owner = await rig.own()
     rig.submit(owner, job)
     for (let crashes = 1; crashes <= MAX_STARTS; crashes++) {
-      const endsAt = performance.now() + PATIENCE_MS
+      const endsAt = performance.now() + SETTLE_TIMEOUT_MS
       const hasReturned = (): boolean => rig.crashesOf(`${job.id}.0.0.0`) >= crashes
       while (!hasReturned() && performance.now() < endsAt && !rig.outcomeOf(job))
         await sleep(5)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -129,7 +129,7 @@
       while (rig.startsOf(`${job.id}.0.0.0`) < changes) await sleep(1)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -181,7 +181,7 @@
       const cut = rig.targets.get(starts().at(-1)!.target)!
       cut.faults.silent = true
     }
-    t.true(await rig.settled([job], 2 * PATIENCE_MS))
+    t.true(await rig.settled([job], 2 * SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'completed')
   })
 })
--- a/src/scheduler/__tests__/lostStops.spec.ts
+++ b/src/scheduler/__tests__/lostStops.spec.ts
@@ -5,7 +5,7 @@
 import { sleep } from '../../shared/index.js'
 
 /** A job that hangs on the only target, or whose start goes unanswered. */
-async function startHanging(t: ExecutionContext, startIsLost: boolean) {
+async function cancelHangingJob(t: ExecutionContext, startIsLost: boolean) {
   const rig = createJobRig()
   t.teardown(() => rig.stop())
   const target = rig.addTarget('t1')
@@ -31,10 +31,10 @@
 describe('stop that goes unanswered', () => {
   // The run of a cancelled job held its room until its own end, which a lasting one has not.
   it('is ordered again while the run is listed', async (t) => {
-    t.true(await startHanging(t, false))
+    t.true(await cancelHangingJob(t, false))
   })
 
   it('leaves no room taken for a start that went unanswered too', async (t) => {
-    t.true(await startHanging(t, true))
+    t.true(await cancelHangingJob(t, true))
   })
 })
--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -20,7 +20,7 @@
 /** Time that the target takes to answer a start, in ms. */
 const ANSWER_MS = 60
 
-const ignore = (): void => undefined
+const noop = (): void => undefined
 
 const NO_ANSWER = new PlatformError('no answer', {
   props: { step: 'orders.start', peer: 't1', failure: 'unknown' },
@@ -39,10 +39,10 @@
     rulesOf: () => ({ maxAttempts: QUEUE.maxAttempts }),
     now: () => performance.now(),
     wallMs: Date.now,
-    changed: ignore,
+    changed: noop,
     dropped: (task) => stop(task),
-    wake: ignore,
-    ended: ignore,
+    wake: noop,
+    ended: noop,
   })
   const link = {
     async start({ task }: { task: string }) {
@@ -71,8 +71,8 @@
     book,
     authority,
     log,
-    unwanted: ignore,
-    ended: ignore,
+    unwanted: noop,
+    ended: noop,
   })
   const lease = createTargetLease(0)
   lease.noteClock(1)
@@ -87,18 +87,18 @@
     runs,
     lease,
     roundTrip,
-    startWindow: createStartWindow({ freed: ignore, log }),
+    startWindow: createStartWindow({ freed: noop, log }),
     signal,
     log,
     token: () => 1,
-    pause: ignore,
-    failed: ignore,
+    pause: noop,
+    failed: noop,
     async fenceUnanswered() {
       fences++
     },
-    suspectStarted: ignore,
-    ticketRefused: ignore,
-    changed: ignore,
+    suspectStarted: noop,
+    ticketRefused: noop,
+    changed: noop,
   })
   const start = (task: Task): void => {
     const placement = runs.add(task, task.run + 1, 'starting')
--- a/src/scheduler/__tests__/rebornTargets.spec.ts
+++ b/src/scheduler/__tests__/rebornTargets.spec.ts
@@ -24,7 +24,7 @@
 }
 
 /** Crashes a target and starts another life under its id. */
-async function restart(rig: JobRig, id: string): Promise<void> {
+async function restartTarget(rig: JobRig, id: string): Promise<void> {
   rig.targets.get(id)!.crash()
   await sleep(DOWNTIME_MS)
   rig.addTarget(id)
@@ -37,7 +37,7 @@
 describe('target that begins another life under its id', () => {
   it('has the ends of its new life processed, so that no task runs twice', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
-    await restart(rig, 't1')
+    await restartTarget(rig, 't1')
     const job = makeJob({ ms: 50 }, [{ count: 4 }])
     rig.submit(owner, job)
     t.true(await rig.settled([job], 5000))
@@ -51,7 +51,7 @@
     rig.submit(owner, job)
     while (countStarts(rig, job.id) < 2) await sleep(5)
     await sleep(200)
-    await restart(rig, 't1')
+    await restartTarget(rig, 't1')
     const endsAt = monotonicMs() + RECOVERY_LIMIT_MS
     while (countStarts(rig, job.id) < 4 && monotonicMs() < endsAt) await sleep(5)
     t.is(countStarts(rig, job.id), 4)
@@ -70,7 +70,7 @@
   it('gets no work before the list shows its new life', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
     const oldEntry = rig.listed.get('t1')!
-    await restart(rig, 't1')
+    await restartTarget(rig, 't1')
     const newEntry = rig.listed.get('t1')!
     rig.relist(oldEntry)
     const job = makeJob({ ms: 20 }, [{ count: 1 }])
@@ -83,7 +83,7 @@
 
   it('keeps its runs when an order for its VM ended its earlier life', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1', 't2'])
-    await restart(rig, 't1')
+    await restartTarget(rig, 't1')
     rig.targets.get('t2')!.faults.silent = true
     const job = makeJob({ ms: 800 }, [{ count: 2 }])
     rig.submit(owner, job)
@@ -103,7 +103,7 @@
     const job = makeJob({ ms: 900 }, [{ count: 2 }])
     rig.submit(owner, job)
     await sleep(150)
-    await restart(rig, 't1')
+    await restartTarget(rig, 't1')
     rig.targets.get('t2')!.faults.silent = false
     t.true(await rig.settled([job], 12_000))
     t.is(findBrokenPromise(rig.ledger), undefined)
--- a/src/scheduler/arrivals.ts
+++ b/src/scheduler/arrivals.ts
@@ -5,17 +5,17 @@
 /** Arrivals that are looked at: enough for a rate within a quarter of the true one. */
 const MAX_ARRIVALS = 16
 /** Arrivals after the first of a window without which nothing is said of a rate. */
-const MIN_COUNT = 2
+const MIN_ARRIVALS = 2
 /**
  * Standard deviations of chance that are taken off each window's count. The highest of
  * the windows' rates is taken, and this much cancels what is chance in the highest.
  */
-const CHANCE = 0.8
+const DISCOUNT_DEVIATIONS = 0.8
 /**
  * Highest rate that silence allows, in jobs over its length: at this rate it has a chance
  * of 0.14. Without it a slow queue seemed to go on for 3 s after its last job.
  */
-const SILENCE_JOBS = 2
+const MAX_SILENCE_JOBS = 2
 /** Shortest span of a window, in ms: jobs of one caller may come within a millisecond. */
 const MIN_SPAN_MS = 30
 /** Weight of one more job in the mean work of a job, once that many were seen. */
@@ -36,27 +36,27 @@
 export function createArrivalMeter(): ArrivalMeter {
   let times: number[] = []
   let meanWork = 0
-  let seen = 0
+  let jobCount = 0
 
   /** Highest rate of the windows that end now and begin with an arrival, in jobs per ms. */
-  function rate(now: number): number {
+  function jobsPerMs(now: number): number {
     let highest = 0
-    for (let count = MIN_COUNT; count < times.length; count++) {
+    for (let count = MIN_ARRIVALS; count < times.length; count++) {
       const spanMs = now - times[times.length - 1 - count]!
       if (spanMs > MAX_WINDOW_MS) break
-      const sure = count - CHANCE * Math.sqrt(count)
-      highest = Math.max(highest, sure / Math.max(MIN_SPAN_MS, spanMs))
+      const discountedCount = count - DISCOUNT_DEVIATIONS * Math.sqrt(count)
+      highest = Math.max(highest, discountedCount / Math.max(MIN_SPAN_MS, spanMs))
     }
     const silentMs = now - (times.at(-1) ?? now)
-    return silentMs > 0 ? Math.min(highest, SILENCE_JOBS / silentMs) : highest
+    return silentMs > 0 ? Math.min(highest, MAX_SILENCE_JOBS / silentMs) : highest
   }
 
   return {
     note(work, now) {
       times = [...times, now].sort((a, b) => a - b).slice(-MAX_ARRIVALS - 1)
-      seen++
-      meanWork += (work - meanWork) * Math.max(MEAN_WEIGHT, 1 / seen)
+      jobCount++
+      meanWork += (work - meanWork) * Math.max(MEAN_WEIGHT, 1 / jobCount)
     },
-    expectedCpu: (now) => rate(now) * meanWork,
+    expectedCpu: (now) => jobsPerMs(now) * meanWork,
   }
 }
--- a/src/scheduler/ask.ts
+++ b/src/scheduler/ask.ts
@@ -14,15 +14,15 @@
 const MAX_CALLS = 3
 
 /** What became of a call and its repetitions. */
-export interface Asked<T> {
+export interface CallResult<T> {
   /** Result of the last one. */
   res: Result<T, OrderError>
   /** Earlier ones without an answer; each of them may be carried out yet. */
-  lost: number
+  unansweredCalls: number
 }
 
 /** How a target is asked. */
-export interface AskOptions<T> {
+export interface CallOptions<T> {
   roundTrip: RoundTrip
   /**
    * Makes one call.
@@ -33,23 +33,23 @@
   /** Time that the target may wait at the first call, in ms. */
   waitMs?: number
   /** Whether the answer is still wanted after a call without one. */
-  mayAskAgain?(): boolean
+  mayRetry?(): boolean
 }
 
 /** Calls until there is an answer, for {@link ANSWER_TIMEOUT_MS} at most. */
-export async function ask<T>(opts: AskOptions<T>): Promise<Asked<T>> {
-  const { roundTrip, send, waitMs = 0, mayAskAgain = () => true } = opts
-  const endsAt = monotonicMs() + waitMs + ANSWER_TIMEOUT_MS
-  for (let lost = 0; ; lost++) {
-    const pollMs = lost === 0 ? waitMs : 0
-    const leftMs = Math.max(MIN_ANSWER_MS, endsAt - monotonicMs() - pollMs)
+export async function callWithRetries<T>(opts: CallOptions<T>): Promise<CallResult<T>> {
+  const { roundTrip, send, waitMs = 0, mayRetry = () => true } = opts
+  const deadline = monotonicMs() + waitMs + ANSWER_TIMEOUT_MS
+  for (let unansweredCalls = 0; ; unansweredCalls++) {
+    const pollMs = unansweredCalls === 0 ? waitMs : 0
+    const leftMs = Math.max(MIN_ANSWER_MS, deadline - monotonicMs() - pollMs)
     const timeoutMs = roundTrip.timeoutMs()
-    const isLast = lost + 1 === MAX_CALLS || timeoutMs + MIN_ANSWER_MS > leftMs
+    const isLast = unansweredCalls + 1 === MAX_CALLS || timeoutMs + MIN_ANSWER_MS > leftMs
     const sentAt = monotonicMs()
     const res = await send(Math.round(isLast ? leftMs : timeoutMs), pollMs)
-    const isMissing = res.isErr() && res.error.failure === 'unanswered'
-    if (isMissing) roundTrip.missed()
+    const isUnanswered = res.isErr() && res.error.failure === 'unanswered'
+    if (isUnanswered) roundTrip.missed()
     else if (pollMs === 0) roundTrip.note(monotonicMs() - sentAt)
-    if (!isMissing || isLast || !mayAskAgain()) return { res, lost }
+    if (!isUnanswered || isLast || !mayRetry()) return { res, unansweredCalls }
   }
 }
--- a/src/scheduler/crashSuspects.ts
+++ b/src/scheduler/crashSuspects.ts
@@ -15,11 +15,11 @@
 
 /** Uptime of a run that the target has confirmed, in ms of the target's clock. */
 export function confirmedUptimeMs(
-  { confirmedClock }: Placement,
+  { confirmedClockMs }: Placement,
   clockMs: number,
 ): number {
-  const isConfirmed = confirmedClock > 0 && Number.isFinite(confirmedClock)
-  return isConfirmed ? Math.max(0, clockMs - confirmedClock) : 0
+  const isConfirmed = confirmedClockMs > 0 && Number.isFinite(confirmedClockMs)
+  return isConfirmed ? Math.max(0, clockMs - confirmedClockMs) : 0
 }
 
 /** Whether a run may have begun and is not yet known to be stable. */
--- a/src/scheduler/leavingTargets.ts
+++ b/src/scheduler/leavingTargets.ts
@@ -29,8 +29,9 @@
 /** What runs on a leaving target dies with it: it goes elsewhere before. */
 export function emptyLeaving({ targets, agents, log }: LeavingTargetsOptions): void {
   for (const agent of agents) {
-    const leaves = agent.target.draining || isGoneFromList(agent, targets)
-    if (leaves && agent.isAnswering()) moveTasksAway({ agent, agents, hurry: true, log })
+    const isLeaving = agent.target.draining || isGoneFromList(agent, targets)
+    if (isLeaving && agent.isAnswering())
+      moveTasksAway({ agent, agents, hurry: true, log })
   }
 }
 
--- a/src/scheduler/lifeCheck.ts
+++ b/src/scheduler/lifeCheck.ts
@@ -8,13 +8,13 @@
 import type { TargetAgent } from './types.js'
 
 /** Time between two readings at least, in ms. */
-const READ_MS = 700
+const READ_INTERVAL_MS = 700
 /** The same while the last one leaves a life in doubt, or another target has fallen silent, in ms. */
-const FIRST_READ_MS = 250
+const URGENT_READ_INTERVAL_MS = 250
 /** The latter as a multiple of the time that a reading takes: a long list fills a thin link. */
 const READ_PAUSE_FACTOR = 4
 /** Longest time after which the list shows a life that has begun, in ms. */
-const LIST_LAG_MS = 1500
+const MAX_LIST_LAG_MS = 1500
 /**
  * Time for which the list must not have shown a life before it counts as over, in ms: two readings,
  * as one may have left out a row that could not be read.
@@ -32,22 +32,24 @@
   /** Steady time of the first reading without the life, by id, in ms. */
   const absentSince = new Map<string, number>()
   /** Ids of the silent targets at the last reading. */
-  let readFor = new Set<string>()
-  let readAt = -Infinity
-  let tookMs = 0
+  let lastReadIds = new Set<string>()
+  let lastReadAt = -Infinity
+  let lastReadTookMs = 0
 
   const isDoubtful = (agent: TargetAgent): boolean =>
     !agent.isAnswering() && (agent.placements.size > 0 || !agent.isSettled())
 
   /** Whether a reading sent at that time must show the life unless it is over. */
-  const isOlderThanList = (agent: TargetAgent, sentAt: number): boolean =>
-    sentAt - agent.heardSince() > LIST_LAG_MS
+  const mustBeListed = (agent: TargetAgent, sentAt: number): boolean =>
+    sentAt - agent.firstReportAt() > MAX_LIST_LAG_MS
 
   /** Time from the last reading to the next one, in ms. */
-  function pauseMs(doubtful: TargetAgent[]): number {
+  function intervalMs(doubtful: TargetAgent[]): number {
     const isUrgent =
-      absentSince.size > 0 || doubtful.some(({ target }) => !readFor.has(target.id))
-    return isUrgent ? Math.max(FIRST_READ_MS, tookMs * READ_PAUSE_FACTOR) : READ_MS
+      absentSince.size > 0 || doubtful.some(({ target }) => !lastReadIds.has(target.id))
+    return isUrgent
+      ? Math.max(URGENT_READ_INTERVAL_MS, lastReadTookMs * READ_PAUSE_FACTOR)
+      : READ_INTERVAL_MS
   }
 
   /** @param sentAt steady time at which the reading was asked for, in ms */
@@ -55,7 +57,7 @@
     const { id } = agent.target
     const since = absentSince.get(id) ?? sentAt
     absentSince.set(id, since)
-    const absentMs = isOlderThanList(agent, sentAt) ? ABSENT_MS : YOUNG_ABSENT_MS
+    const absentMs = mustBeListed(agent, sentAt) ? ABSENT_MS : YOUNG_ABSENT_MS
     if (sentAt - since < absentMs) return
     absentSince.delete(id)
     agent.markGone('no VM has this life')
@@ -66,17 +68,18 @@
       const doubtful = agents.filter(isDoubtful)
       if (!cloud || doubtful.length === 0) return absentSince.clear()
       const sentAt = monotonicMs()
-      if (sentAt - readAt < pauseMs(doubtful)) return
-      readAt = sentAt
-      readFor = new Set(doubtful.map(({ target }) => target.id))
-      for (const id of absentSince.keys()) if (!readFor.has(id)) absentSince.delete(id)
+      if (sentAt - lastReadAt < intervalMs(doubtful)) return
+      lastReadAt = sentAt
+      lastReadIds = new Set(doubtful.map(({ target }) => target.id))
+      for (const id of absentSince.keys())
+        if (!lastReadIds.has(id)) absentSince.delete(id)
       const vms = await cloud.list()
-      tookMs = monotonicMs() - sentAt
+      lastReadTookMs = monotonicMs() - sentAt
       if (vms.isErr())
         return log.event('vmsNotRead', { reason: describeError(vms.error) })
-      const lives = new Set(vms.value.map(({ targetId }) => targetId))
+      const listedIds = new Set(vms.value.map(({ targetId }) => targetId))
       for (const agent of doubtful) {
-        if (lives.has(agent.target.id)) absentSince.delete(agent.target.id)
+        if (listedIds.has(agent.target.id)) absentSince.delete(agent.target.id)
         else noteAbsence(agent, sentAt)
       }
     },
--- a/src/scheduler/orderSender.ts
+++ b/src/scheduler/orderSender.ts
@@ -16,33 +16,33 @@
 } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { Logger, RoundTrip } from '../shared/index.js'
-import { ask } from './ask.js'
-import type { Asked } from './ask.js'
+import { callWithRetries } from './ask.js'
+import type { CallResult } from './ask.js'
 import { FULL_PAUSE_MS, REFUSED_PAUSE_MS } from './constants.js'
 import type { TargetLease } from './targetLease.js'
 import type { StartWindow } from './startWindow.js'
 import type { Placement, TargetRuns } from './targetRuns.js'
 
 /** An order that waited longer for its turn is told, in ms: a few answers of a sound target. */
-const TOLD_WAIT_MS = 300
+const LATE_ORDER_MS = 300
 
 /**
  * Time for which starts may wait for those before them, in ms: they are placed late rather than
  * behind one another. On a link that delays each answer by 0.3 s the tenth start waited 3 s, while
  * another target of the pool had room.
  */
-const START_WAIT_MS = 600
+const MAX_START_WAIT_MS = 600
 /** Starts that may wait on any target, so that one which is slow gets the next one at once. */
-const MIN_STARTS = 3
+const MIN_QUEUED_STARTS = 3
 /** Weight of the newest answer in the time that a start takes. */
-const TAKES_WEIGHT = 0.3
+const NEWEST_START_WEIGHT = 0.3
 
 /** Kinds of orders, the first to be sent first. */
 const ORDER_KINDS = ['stop', 'start', 'pace'] as const
 type OrderKind = (typeof ORDER_KINDS)[number]
 
 /** An order that waits for its turn. */
-interface WaitingOrder {
+interface QueuedOrder {
   task: string
   queuedAt: number
   send(): Promise<void>
@@ -93,20 +93,20 @@
 export function createOrderSender(opts: OrderSenderOptions): OrderSender {
   const { targetId, link, book, authority, runs, lease, roundTrip, token, log } = opts
   const { startWindow } = opts
-  const waiting: Record<OrderKind, WaitingOrder[]> = { stop: [], start: [], pace: [] }
+  const queues: Record<OrderKind, QueuedOrder[]> = { stop: [], start: [], pace: [] }
   /** Resolves once nothing waits any more; undefined while nothing is sent. */
   let sending: Promise<void> | undefined
   /** Time that a start takes, in ms. */
-  let takesMs = 0
+  let meanStartMs = 0
 
   const startsLeft = (): number => {
-    const fitting = Math.floor(START_WAIT_MS / Math.max(1, takesMs))
-    const here = Math.max(MIN_STARTS, fitting) - waiting.start.length
-    return Math.min(here, startWindow.left())
+    const fitting = Math.floor(MAX_START_WAIT_MS / Math.max(1, meanStartMs))
+    const queueSlots = Math.max(MIN_QUEUED_STARTS, fitting) - queues.start.length
+    return Math.min(queueSlots, startWindow.left())
   }
 
   async function sendNext(kind: OrderKind): Promise<void> {
-    const next = waiting[kind].shift()
+    const next = queues[kind].shift()
     if (!next) return
     if (opts.signal.aborted) {
       if (kind === 'start') startWindow.closed()
@@ -114,62 +114,65 @@
     }
     const { task, queuedAt, send } = next
     const waitedMs = Math.round(monotonicMs() - queuedAt)
-    if (waitedMs > TOLD_WAIT_MS)
+    if (waitedMs > LATE_ORDER_MS)
       log.event('orderLate', { order: kind, task, target: targetId, waitedMs })
     const sentAt = monotonicMs()
     await send()
     if (kind !== 'start') return
     const tookMs = monotonicMs() - sentAt
-    takesMs = takesMs === 0 ? tookMs : takesMs + (tookMs - takesMs) * TAKES_WEIGHT
+    meanStartMs =
+      meanStartMs === 0
+        ? tookMs
+        : meanStartMs + (tookMs - meanStartMs) * NEWEST_START_WEIGHT
     // What was kept from it for the others that waited may come now.
-    if (waiting.start.length === 0) opts.changed()
+    if (queues.start.length === 0) opts.changed()
   }
 
-  async function sendAll(): Promise<void> {
+  async function drainQueues(): Promise<void> {
     // Whoever orders finishes its turn first.
     await Promise.resolve()
     for (;;) {
-      const kind = ORDER_KINDS.find((each) => waiting[each].length > 0)
+      const kind = ORDER_KINDS.find((each) => queues[each].length > 0)
       if (kind === undefined) break
       await sendNext(kind)
     }
     sending = undefined
   }
 
-  const enqueue = (kind: OrderKind, task: string, send: WaitingOrder['send']): void => {
-    waiting[kind].push({ task, queuedAt: monotonicMs(), send })
-    sending ??= sendAll()
+  const enqueue = (kind: OrderKind, task: string, send: QueuedOrder['send']): void => {
+    queues[kind].push({ task, queuedAt: monotonicMs(), send })
+    sending ??= drainQueues()
   }
 
   /** Leaves a start out that has not been sent; false when there is none. */
-  function dropStart(name: string, run: number): boolean {
-    const at = waiting.start.findIndex(({ task }) => task === name)
+  function cancelQueuedStart(name: string, run: number): boolean {
+    const index = queues.start.findIndex(({ task }) => task === name)
     const placement = runs.placements.get(name)
-    if (at < 0 || placement?.run !== run) return false
-    waiting.start.splice(at, 1)
+    if (index < 0 || placement?.run !== run) return false
+    queues.start.splice(index, 1)
     startWindow.closed()
-    giveBack(placement)
+    undoPlacement(placement)
     opts.changed()
     return true
   }
 
   /** Gives back what waits for a target that did not take a start, to be done elsewhere. */
-  function dropStarts(): void {
-    for (const { task } of waiting.start.splice(0)) {
+  function cancelQueuedStarts(): void {
+    for (const { task } of queues.start.splice(0)) {
       startWindow.closed()
       const placement = runs.placements.get(task)
-      if (placement) giveBack(placement)
+      if (placement) undoPlacement(placement)
     }
   }
 
   /** The run of a start that is not sent never was. */
-  function giveBack(placement: Placement): void {
+  function undoPlacement(placement: Placement): void {
     const { task, run } = placement
     runs.remove(placement)
     if (task?.run === run) book.unplace(task)
   }
 
-  const startRefused: Record<StartRefusal, (task: Task) => void> = {
+  const refusalHandlers: Record<StartRefusal, (task: Task) => void> = {
     fenced: () => authority.lost('a target has seen a newer owner'),
     superseded: () => undefined,
     expired: () => undefined,
@@ -184,43 +187,43 @@
     ticket: string,
   ): Promise<void> {
     const { name, run } = placement
-    const isOpen = (): boolean =>
+    const isCurrent = (): boolean =>
       runs.placements.get(name) === placement && authority.mayOrder()
-    const wanted = isOpen() && !task.step.job.outcome
-    const leaseUntilMs = wanted ? lease.extend() : undefined
-    if (leaseUntilMs === undefined) return giveBack(placement)
+    const isWanted = isCurrent() && !task.step.job.outcome
+    const leaseUntilMs = isWanted ? lease.extend() : undefined
+    if (leaseUntilMs === undefined) return undoPlacement(placement)
     const { spec } = task.step.job.spec
     const sentToken = token()
     const { checkpoint } = task
     placement.mayHaveBegun = true
     placement.sentAt = monotonicMs()
     const order = { task: name, run, spec, token: sentToken, checkpoint, ticket }
-    const asked = await ask({
+    const result = await callWithRetries({
       roundTrip,
       send: (timeoutMs) =>
         link.start({ ...order, leaseUntilMs: lease.extend() ?? leaseUntilMs }, timeoutMs),
-      mayAskAgain: isOpen,
+      mayRetry: isCurrent,
     })
     // A report may have told its end meanwhile.
     if (runs.placements.get(name) === placement)
-      await noteAnswer(task, placement, asked, sentToken)
+      await noteAnswer(task, placement, result, sentToken)
   }
 
   async function noteAnswer(
     task: Task,
     placement: Placement,
-    { res, lost }: Asked<StartAnswer>,
+    { res, unansweredCalls }: CallResult<StartAnswer>,
     sentToken: number,
   ): Promise<void> {
-    task.step.job.delays.unanswered += lost
-    if (res.isErr()) return startFailed(task, placement, res.error, lost)
+    task.step.job.delays.unanswered += unansweredCalls
+    if (res.isErr()) return startFailed(task, placement, res.error, unansweredCalls)
     lease.noteClock(res.value.clockMs)
     runs.noteClock(res.value.clockMs)
     if (!res.value.accepted)
-      return noteRefusal(task, placement, res.value.reason, sentToken, lost)
+      return noteRefusal(task, placement, res.value.reason, sentToken, unansweredCalls)
     book.noteBegun(task)
     if (placement.state === 'starting') placement.state = 'running'
-    placement.confirmedClock = res.value.clockMs
+    placement.confirmedClockMs = res.value.clockMs
     if (isCrashSuspect(task)) opts.suspectStarted(task)
   }
 
@@ -229,20 +232,26 @@
     placement: Placement,
     reason: StartRefusal,
     sentToken: number,
-    lost: number,
+    unansweredCalls: number,
   ): void | Promise<void> {
     const { name, run } = placement
-    log.event('startRefused', { task: name, run, target: targetId, reason, lost })
+    log.event('startRefused', {
+      task: name,
+      run,
+      target: targetId,
+      reason,
+      lost: unansweredCalls,
+    })
     // A refusal for a lower token than ours is only the answer to our own newer one.
-    if (reason !== 'fenced' || sentToken === token()) startRefused[reason](task)
-    if (lost > 0) return becomeUnsure(placement)
+    if (reason !== 'fenced' || sentToken === token()) refusalHandlers[reason](task)
+    if (unansweredCalls > 0) return markUnsure(placement)
     runs.remove(placement)
     book.unplace(task)
     opts.changed()
   }
 
   /** An order without an answer may have been carried out, be over, or come yet. */
-  function becomeUnsure(placement: Placement): Promise<void> {
+  function markUnsure(placement: Placement): Promise<void> {
     placement.state = 'unsure'
     return opts.fenceUnanswered()
   }
@@ -251,17 +260,23 @@
     task: Task,
     placement: Placement,
     error: OrderError,
-    lost: number,
+    unansweredCalls: number,
   ): Promise<void> {
     const { name, run } = placement
-    const failure = failureOf(error)
-    log.event('startFailed', { task: name, run, target: targetId, ...failure, lost })
+    const failure = failureFields(error)
+    log.event('startFailed', {
+      task: name,
+      run,
+      target: targetId,
+      ...failure,
+      lost: unansweredCalls,
+    })
     opts.pause(REFUSED_PAUSE_MS)
-    dropStarts()
+    cancelQueuedStarts()
     if (error.failure === 'unanswered') task.step.job.delays.unanswered++
-    const mayCome = error.failure === 'unanswered' || lost > 0
-    placement.mayHaveBegun = mayCome
-    if (mayCome && error.failure !== 'gone') return becomeUnsure(placement)
+    const mayArrive = error.failure === 'unanswered' || unansweredCalls > 0
+    placement.mayHaveBegun = mayArrive
+    if (mayArrive && error.failure !== 'gone') return markUnsure(placement)
     if (error.failure === 'notDone') {
       runs.remove(placement)
       book.unplace(task)
@@ -271,26 +286,30 @@
   }
 
   /** Asks again for as long as this owner may give orders. */
-  async function askAsOwner(
+  async function callAsOwner(
     send: (timeoutMs: number) => OrderResult<boolean>,
   ): OrderResult<boolean> {
-    const { res } = await ask({ roundTrip, send, mayAskAgain: authority.mayOrder })
+    const { res } = await callWithRetries({
+      roundTrip,
+      send,
+      mayRetry: authority.mayOrder,
+    })
     return res
   }
 
   async function sendStop(name: string, run: number): Promise<void> {
     if (!authority.mayOrder()) return
     const order = { task: name, run, token: token() }
-    const res = await askAsOwner((timeoutMs) => link.stop(order, timeoutMs))
+    const res = await callAsOwner((timeoutMs) => link.stop(order, timeoutMs))
     if (res.isOk()) return
-    log.event('stopFailed', { task: name, target: targetId, ...failureOf(res.error) })
+    log.event('stopFailed', { task: name, target: targetId, ...failureFields(res.error) })
     opts.failed(res.error)
   }
 
   async function sendPace({ name, run }: Placement, percent: number): Promise<void> {
     if (!authority.mayOrder()) return
     const order = { task: name, run, percent, token: token() }
-    const res = await askAsOwner((timeoutMs) => link.pace(order, timeoutMs))
+    const res = await callAsOwner((timeoutMs) => link.pace(order, timeoutMs))
     if (res.isErr()) opts.failed(res.error)
   }
 
@@ -307,7 +326,7 @@
       })
     },
     stop(name, run) {
-      if (!dropStart(name, run)) enqueue('stop', name, () => sendStop(name, run))
+      if (!cancelQueuedStart(name, run)) enqueue('stop', name, () => sendStop(name, run))
     },
     pace: (placement, percent) =>
       enqueue('pace', placement.name, () => sendPace(placement, percent)),
@@ -316,6 +335,6 @@
   }
 }
 
-function failureOf(error: OrderError): { failure: string; reason: string } {
+function failureFields(error: OrderError): { failure: string; reason: string } {
   return { failure: error.failure, reason: error.reason }
 }
--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -5,13 +5,13 @@
 import type { Job, Step, Task } from '../jobs/index.js'
 
 /** Weight of one more run in the average: about the last forty runs count. */
-const WEIGHT = 0.05
+const NEWEST_RUN_WEIGHT = 0.05
 /** Run time assumed before anything is known, in ms: short, so that nothing is given up. */
-const UNKNOWN_MS = 500
+const DEFAULT_RUN_MS = 500
 /** Runs after which the average says more than the callers' guesses. */
-const ENOUGH_RUNS = 8
+const MIN_RUNS = 8
 /** Longest tasks of a step run so much longer than the mean one. */
-const SPREAD = 1.4
+const LONGEST_TASK_FACTOR = 1.4
 
 export interface RunTimes {
   /** Notes a run that ended well. */
@@ -28,25 +28,25 @@
 
 export function createRunTimes(): RunTimes {
   /** Average of run time by queue, and of its ratio to the guess. */
-  const means = new Map<string, number>()
+  const meanByQueue = new Map<string, number>()
   const runCounts = new Map<string, number>()
 
   const meanOf = (step: Step): number =>
-    means.get(step.job.spec.queue) ?? (step.spec.estimateMs || UNKNOWN_MS)
+    meanByQueue.get(step.job.spec.queue) ?? (step.spec.estimateMs || DEFAULT_RUN_MS)
 
   /** Expected time of a step from its beginning, in ms: that of its longest task. */
-  const timeOf = (step: Step): number =>
-    meanOf(step) * (step.tasks.length > 1 ? SPREAD : 1)
+  const stepTimeMs = (step: Step): number =>
+    meanOf(step) * (step.tasks.length > 1 ? LONGEST_TASK_FACTOR : 1)
 
   /** Longest path over the steps, given the time that each of them takes. */
-  function longest(job: Job, stepMs: (step: Step) => number): number {
+  function longestPathMs(job: Job, stepMs: (step: Step) => number): number {
     let result = 0
     for (const { due, steps } of job.occurrences) {
       if (!due) continue
       const ends: number[] = []
       for (const step of steps) {
-        const begins = Math.max(0, ...step.spec.after.map((index) => ends[index] ?? 0))
-        ends.push(begins + stepMs(step))
+        const startsAt = Math.max(0, ...step.spec.after.map((index) => ends[index] ?? 0))
+        ends.push(startsAt + stepMs(step))
       }
       result = Math.max(result, ...ends)
     }
@@ -57,23 +57,23 @@
     note(task, ranMs) {
       const { queue } = task.step.job.spec
       runCounts.set(queue, (runCounts.get(queue) ?? 0) + 1)
-      const before = means.get(queue) ?? ranMs
-      means.set(queue, before + (ranMs - before) * WEIGHT)
+      const previous = meanByQueue.get(queue) ?? ranMs
+      meanByQueue.set(queue, previous + (ranMs - previous) * NEWEST_RUN_WEIGHT)
     },
-    knows: (step) => (runCounts.get(step.job.spec.queue) ?? 0) >= ENOUGH_RUNS,
+    knows: (step) => (runCounts.get(step.job.spec.queue) ?? 0) >= MIN_RUNS,
     meanOf,
-    chainOf: (job) => longest(job, timeOf),
+    chainOf: (job) => longestPathMs(job, stepTimeMs),
     remainingOf: (job, now) =>
-      longest(job, (step) => Math.max(0, timeOf(step) - runningMs(step, now))),
+      longestPathMs(job, (step) => Math.max(0, stepTimeMs(step) - runningMs(step, now))),
   }
 }
 
 /** Time for which all open tasks of a step have run, in ms; without open ones, for ever. */
 function runningMs(step: Step, now: number): number {
-  let least = Infinity
+  let leastMs = Infinity
   for (const { phase, startedAt } of step.tasks) {
     if (phase === 'done') continue
-    least = Math.min(least, phase === 'placed' ? now - startedAt : 0)
+    leastMs = Math.min(leastMs, phase === 'placed' ? now - startedAt : 0)
   }
-  return least
+  return leastMs
 }
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -23,7 +23,7 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createPacer } from '../sharing/index.js'
-import { ask } from './ask.js'
+import { callWithRetries } from './ask.js'
 import {
   ACK_WAIT_MS,
   ANSWER_TIMEOUT_MS,
@@ -57,7 +57,7 @@
   /** Time that unknown runs of the predecessor may last, in ms. */
   inheritedLeaseMs: number
   /** Initial bump of the token, above those that earlier lives of the id have seen. */
-  initialBump: number
+  initialTokenOffset: number
   log: Logger
   /** It did not accept the ticket of a step. */
   ticketRefused(step: Step, targetId: string): void
@@ -85,21 +85,21 @@
   const silence = createTargetSilence(targetId, log)
   let target = opts.target
   /** Raised to make the target refuse orders that went unanswered. */
-  let bump = opts.initialBump
+  let tokenOffset = opts.initialTokenOffset
   /** Start of the life that answers, in ms since 1970; undefined before the first report. */
-  let lifeStartMs: number | undefined
+  let incarnationStartMs: number | undefined
   /** Starts of earlier lives, whose late reports are ignored. */
-  const earlierLives = new Set<number>()
+  const earlierIncarnations = new Set<number>()
   /** Pending while the crash of the earlier life is recorded; reports are ignored until then. */
-  let lifeSwitch: Promise<void> | undefined
+  let incarnationSwitch: Promise<void> | undefined
   let ackedSeq = 0
   /** Steady time of the first report of this life, in ms; Infinity before. */
-  let heardSince = Infinity
-  let gone = false
+  let firstReportAt = Infinity
+  let isGone = false
   let pausedUntil = 0
 
-  const isHeard = (): boolean => heardSince < Infinity
-  const token = (): number => authority.term * TOKENS_PER_TERM + bump
+  const hasReported = (): boolean => firstReportAt < Infinity
+  const token = (): number => authority.term * TOKENS_PER_TERM + tokenOffset
 
   const runs = createTargetRuns({
     target,
@@ -150,17 +150,17 @@
   }
 
   function applyReport(report: TargetReport, reportToken: number): void {
-    if (lifeSwitch || earlierLives.has(report.lifeStartMs)) return
-    if (lifeStartMs !== undefined && lifeStartMs !== report.lifeStartMs)
-      return switchLife(report)
-    lifeStartMs = report.lifeStartMs
+    if (incarnationSwitch || earlierIncarnations.has(report.lifeStartMs)) return
+    if (incarnationStartMs !== undefined && incarnationStartMs !== report.lifeStartMs)
+      return switchIncarnation(report)
+    incarnationStartMs = report.lifeStartMs
     lease.noteClock(report.clockMs)
     const silentMs = silence.end(report.ends.length)
     crashRecorder.noteAnswer()
     runs.apply(report, reportToken, silentMs)
-    if (!isHeard())
+    if (!hasReported())
       log.event('targetHeard', { target: targetId, runs: report.runs.length })
-    heardSince = Math.min(heardSince, monotonicMs())
+    firstReportAt = Math.min(firstReportAt, monotonicMs())
     pacePlacements()
     opts.changed()
   }
@@ -170,32 +170,32 @@
    * sent to it may still reach the new one: a raised token makes the new life refuse them before
    * its list of runs is relied on.
    */
-  function switchLife(report: TargetReport): void {
+  function switchIncarnation(report: TargetReport): void {
     log.event('targetReborn', { target: targetId, runs: placements.size })
-    if (lifeStartMs !== undefined) earlierLives.add(lifeStartMs)
-    lifeStartMs = report.lifeStartMs
-    heardSince = Infinity
+    if (incarnationStartMs !== undefined) earlierIncarnations.add(incarnationStartMs)
+    incarnationStartMs = report.lifeStartMs
+    firstReportAt = Infinity
     ackedSeq = 0
-    bump++
+    tokenOffset++
     lease.reset(report.clockMs)
     const crashed = crashRecorder.takeCrashedRuns()
-    runs.switchLife(token())
-    lifeSwitch = finishLifeSwitch(crashed)
+    runs.switchIncarnation(token())
+    incarnationSwitch = finishIncarnationSwitch(crashed)
   }
 
-  async function finishLifeSwitch(crashed: CrashedRun[]): Promise<void> {
+  async function finishIncarnationSwitch(crashed: CrashedRun[]): Promise<void> {
     await waitUntilConfirmed()
     if (signal.aborted) return
     await crashRecorder.record({ reason: 'another life answers', crashed })
     if (signal.aborted) return
-    lifeSwitch = undefined
+    incarnationSwitch = undefined
     opts.restarted(agent)
     opts.changed()
   }
 
   function markGone(reason: string): void {
-    if (gone) return
-    gone = true
+    if (isGone) return
+    isGone = true
     log.event('targetGone', { target: targetId, reason })
     void giveUpRuns(reason)
   }
@@ -234,7 +234,7 @@
 
   /** Once the lease of everything on a silent target is over, nothing runs there. */
   function expireLease(): void {
-    if (!lease.isOver() || placements.size === 0) return
+    if (!lease.isExpired() || placements.size === 0) return
     // A successor may have renewed the leases: only an owner for certain can tell.
     if (!authority.isConfirmed()) return
     crashRecorder.noteLeaseExpiry()
@@ -249,25 +249,30 @@
   async function syncOnce(waitMs: number): Promise<boolean> {
     let sentToken = token()
     /** False after a failed call: the target may have restarted, and another life may answer. */
-    let isLifeKnown = silence.isAnswering() && !lifeSwitch
+    let isIncarnationKnown = silence.isAnswering() && !incarnationSwitch
     const send = (timeoutMs: number, pollMs: number): OrderResult<TargetReport> => {
       sentToken = token()
       // A silent target may get a lease that we never hear of: it is not extended, so that
       // it is over at a time that we know.
-      const leaseUntilMs = isLifeKnown ? lease.extend() : undefined
+      const leaseUntilMs = isIncarnationKnown ? lease.extend() : undefined
       const order = {
         token: sentToken,
-        ackedSeq: isLifeKnown ? ackedSeq : 0,
+        ackedSeq: isIncarnationKnown ? ackedSeq : 0,
         leaseUntilMs,
       }
-      isLifeKnown = false
+      isIncarnationKnown = false
       return link.sync({ ...order, waitMs: pollMs }, timeoutMs)
     }
-    const mayAskAgain = (): boolean => !gone && authority.mayOrder()
+    const mayRetry = (): boolean => !isGone && authority.mayOrder()
     const sentAt = monotonicMs()
-    const { res, lost } = await ask({ roundTrip, send, waitMs, mayAskAgain })
-    if (gone || signal.aborted) return false
-    if (lost > 0 || res.isErr()) silence.missed(sentAt)
+    const { res, unansweredCalls } = await callWithRetries({
+      roundTrip,
+      send,
+      waitMs,
+      mayRetry,
+    })
+    if (isGone || signal.aborted) return false
+    if (unansweredCalls > 0 || res.isErr()) silence.noteMissed(sentAt)
     if (res.isOk()) applyReport(res.value, sentToken)
     else if (res.error.failure === 'fenced') noteFenced(sentToken)
     else noteFailure(res.error)
@@ -282,56 +287,56 @@
     return isBusy && !startWindow.isBehind() ? BUSY_WAIT_MS : SYNC_WAIT_MS
   }
 
-  async function run(): Promise<void> {
+  async function syncUntilClosed(): Promise<void> {
     while (!signal.aborted) {
-      await lifeSwitch
+      await incarnationSwitch
       expireLease()
-      if (gone || !authority.mayOrder()) {
+      if (isGone || !authority.mayOrder()) {
         await sleep(SYNC_RETRY_MS, signal)
         continue
       }
-      if (runs.endsToAck() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
+      if (runs.ackableEndSeq() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
       // It lists ends that are not acknowledged at once, so that no poll would last.
-      if (runs.endsSeen() > runs.endsToAck()) await sleep(ACK_WAIT_MS, signal)
-      const waits = isHeard() && runs.endsSeen() === ackedSeq
-      const done = await syncOnce(waits ? pollWaitMs() : 0)
-      if (!done) await sleep(jittered(SYNC_RETRY_MS), signal)
+      if (runs.lastEndSeq() > runs.ackableEndSeq()) await sleep(ACK_WAIT_MS, signal)
+      const isCaughtUp = hasReported() && runs.lastEndSeq() === ackedSeq
+      const isAnswered = await syncOnce(isCaughtUp ? pollWaitMs() : 0)
+      if (!isAnswered) await sleep(jittered(SYNC_RETRY_MS), signal)
     }
   }
 
   /** Syncs with the target as soon as a run of the suspect may count as stable. */
   async function checkStable(task: Task): Promise<void> {
     await sleep(stableAfterMs(task) + STABLE_CHECK_MARGIN_MS, signal)
-    if (!signal.aborted && !gone && authority.mayOrder()) await syncOnce(0)
+    if (!signal.aborted && !isGone && authority.mayOrder()) await syncOnce(0)
   }
 
   /** Makes the target refuse all orders sent so far, then reads what became of them. */
   async function fenceUnanswered(): Promise<void> {
-    bump++
+    tokenOffset++
     runs.fence(token())
     await syncOnce(0)
   }
 
   /** Whether the list shows another life than the one that answers, whose room may differ. */
-  const isOtherLifeListed = (): boolean =>
-    lifeStartMs !== undefined &&
+  const isOtherIncarnationListed = (): boolean =>
+    incarnationStartMs !== undefined &&
     target.lifeStartMs !== 0 &&
-    target.lifeStartMs !== lifeStartMs
+    target.lifeStartMs !== incarnationStartMs
 
   /** In the order in which they are asked: what lasts longest comes first. */
-  const HOLDS: { hold: TargetHold; holds(): boolean }[] = [
-    { hold: 'gone', holds: () => gone },
-    { hold: 'draining', holds: () => target.draining },
-    { hold: 'unlisted', holds: () => !agent.listed || isOtherLifeListed() },
-    { hold: 'unheard', holds: () => !isHeard() },
-    { hold: 'silent', holds: () => !silence.isAnswering() },
-    { hold: 'evacuating', holds: () => agent.evacuating },
+  const HOLD_RULES: { hold: TargetHold; applies(): boolean }[] = [
+    { hold: 'gone', applies: () => isGone },
+    { hold: 'draining', applies: () => target.draining },
+    { hold: 'unlisted', applies: () => !agent.listed || isOtherIncarnationListed() },
+    { hold: 'unheard', applies: () => !hasReported() },
+    { hold: 'silent', applies: () => !silence.isAnswering() },
+    { hold: 'evacuating', applies: () => agent.evacuating },
     // What runs there takes room that is not known before its jobs are read.
-    { hold: 'unread', holds: () => book.mayMissJobs && runs.heldCount() > 0 },
+    { hold: 'unread', applies: () => book.mayMissJobs && runs.heldCount() > 0 },
     // Their tasks may be unknown: they have no placement, and their room is not counted.
-    { hold: 'unwanted', holds: () => runs.unwantedCount() > 0 },
-    { hold: 'paused', holds: () => monotonicMs() < pausedUntil },
-    { hold: 'noAuthority', holds: () => !authority.mayOrder() },
+    { hold: 'unwanted', applies: () => runs.unwantedCount() > 0 },
+    { hold: 'paused', applies: () => monotonicMs() < pausedUntil },
+    { hold: 'noAuthority', applies: () => !authority.mayOrder() },
   ]
 
   const agent: TargetAgent = {
@@ -340,17 +345,17 @@
     },
     placements,
     room,
-    bump: () => bump,
+    tokenOffset: () => tokenOffset,
     evacuating: false,
     listed: true,
-    hold: () => HOLDS.find(({ holds }) => holds())?.hold,
+    hold: () => HOLD_RULES.find(({ applies }) => applies())?.hold,
     isUsable: () => agent.hold() === undefined,
     pausedUntil: () => pausedUntil,
-    settledBy: lease.overAt,
-    heardSince: () => heardSince,
-    isSettled: () => isHeard() || gone || lease.isOver(),
+    settledBy: lease.expiresAt,
+    firstReportAt: () => firstReportAt,
+    isSettled: () => hasReported() || isGone || lease.isExpired(),
     isSilent: () => !silence.isAnswering(),
-    isAnswering: () => silence.isAnswering() && isHeard() && !gone,
+    isAnswering: () => silence.isAnswering() && hasReported() && !isGone,
     update(next) {
       if (next.draining && !target.draining) {
         log.event('targetDraining', { target: targetId })
@@ -368,7 +373,7 @@
       const placement = placements.get(name)
       if (!placement || placement.state === 'stopping') return
       placement.state = 'stopping'
-      placement.stopAskedAt = monotonicMs()
+      placement.stopOrderedAt = monotonicMs()
       sender.stop(name, placement.run)
     },
     isIsolated: runs.isIsolated,
@@ -383,23 +388,23 @@
     markGone,
     async close() {
       stopping.abort()
-      progress.removeSource(acks)
+      progress.removeSource(ackSource)
       link.close()
       await loop
       await sender.idle()
     },
   }
 
-  const acks = {
+  const ackSource = {
     capture() {
-      const seq = runs.endsToAck()
-      const capturedLife = lifeStartMs
+      const seq = runs.ackableEndSeq()
+      const capturedStartMs = incarnationStartMs
       return () => {
-        if (capturedLife === lifeStartMs) ackedSeq = Math.max(ackedSeq, seq)
+        if (capturedStartMs === incarnationStartMs) ackedSeq = Math.max(ackedSeq, seq)
       }
     },
   }
-  progress.addSource(acks)
-  const loop = run()
+  progress.addSource(ackSource)
+  const loop = syncUntilClosed()
   return agent
 }
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -34,7 +34,7 @@
  * Time for which the list shows a life that is over at most, in ms: three heartbeats, and some. One
  * that it shows for longer lives: its end was concluded from an entry that another writer had spoilt.
  */
-const SHOWN_AFTER_END_MS = 8000
+const MAX_LISTED_AFTER_END_MS = 8000
 
 /** What the follower works with. */
 export interface TargetFollowerOptions {
@@ -61,12 +61,12 @@
   const { agents, targets, authority, roster, health, log } = opts
   const { service } = authority
   /** Lives that are over as far as is known, by id, while the list still shows the id. */
-  const goneLives = new Map<string, GoneLife>()
+  const goneIncarnations = new Map<string, GoneIncarnation>()
   /** Bump of the token that the next life of an id starts with. */
-  const nextBumps = new Map<string, number>()
+  const nextTokenOffsets = new Map<string, number>()
 
   /** Targets of the predecessor's roster. */
-  const inherited = new Set<string>()
+  const inheritedIds = new Set<string>()
 
   /** Time that unknown runs of the predecessor may last, in ms. */
   const inheritedLeaseMs =
@@ -74,18 +74,21 @@
     TASK_LEASE_MS * (1 + CLOCK_SKEW) +
     LEASE_MARGIN_MS
 
-  function forget(agent: TargetAgent): void {
+  function removeAgent(agent: TargetAgent): void {
     const { id } = agent.target
     agents.delete(id)
-    goneLives.set(id, { key: lifeKey(agent.target), at: monotonicMs() })
-    nextBumps.set(id, agent.bump() + 1)
+    goneIncarnations.set(id, {
+      key: incarnationKey(agent.target),
+      detectedAt: monotonicMs(),
+    })
+    nextTokenOffsets.set(id, agent.tokenOffset() + 1)
     health.forget(agent)
     roster.remove(id)
     void agent.close()
   }
 
   /** Whether it is called at an address that the list has corrected, and nothing is there. */
-  function isMisplaced(agent: TargetAgent, { address }: Target): boolean {
+  function hasStaleAddress(agent: TargetAgent, { address }: Target): boolean {
     const { target, placements } = agent
     return target.address !== address && !agent.isAnswering() && placements.size === 0
   }
@@ -93,27 +96,28 @@
   /** Whether the list shows a later life under the id, at an address that it does not call. */
   function isReplaced(agent: TargetAgent, { address, lifeStartMs }: Target): boolean {
     const { target } = agent
-    const isLaterLife = target.lifeStartMs !== 0 && target.lifeStartMs < lifeStartMs
-    return isLaterLife && target.address !== address && !agent.isAnswering()
+    const isLaterIncarnation =
+      target.lifeStartMs !== 0 && target.lifeStartMs < lifeStartMs
+    return isLaterIncarnation && target.address !== address && !agent.isAnswering()
   }
 
   /** Closes an agent that has nothing to do; the life may well be alive elsewhere. */
-  function closeMisplaced(agent: TargetAgent): void {
+  function closeIdleAgent(agent: TargetAgent): void {
     agents.delete(agent.target.id)
     health.forget(agent)
     void agent.close()
   }
 
   /** Whether runs of the predecessor, or of a closed agent of ours, may be there. */
-  const mayHaveRuns = (id: string): boolean => inherited.has(id) || roster.has(id)
+  const mayHaveRuns = (id: string): boolean => inheritedIds.has(id) || roster.has(id)
 
   /**
    * Opens the agent of a target of the roster. Without an address it stays silent, until the
    * list tells one, no VM has the life any more, or all that may run there is over.
    */
   function openInherited({ id, address }: InheritedEntry): void {
-    inherited.add(id)
-    open(unlistedTarget(id, address ?? '', service)).listed = false
+    inheritedIds.add(id)
+    open(createUnlistedTarget(id, address ?? '', service)).listed = false
   }
 
   function open(target: Target): TargetAgent {
@@ -124,18 +128,18 @@
       authority,
       progress: opts.progress,
       startWindow: opts.startWindow,
-      initialBump: nextBumps.get(target.id) ?? 0,
+      initialTokenOffset: nextTokenOffsets.get(target.id) ?? 0,
       inheritedLeaseMs: mayHaveRuns(target.id) ? inheritedLeaseMs : 0,
       log,
       changed: opts.changed,
-      ticketRefused: (step, id) => opts.tickets.drop(step, id),
+      ticketRefused: (step, id) => opts.tickets.discard(step, id),
       ended(each, task, kind) {
         if (kind === 'done') opts.runTimes.note(task, monotonicMs() - task.startedAt)
         health.noteEnd(each, task, kind)
       },
       restarted: health.forget,
       crashed: opts.isolation.noteCrash,
-      gone: forget,
+      gone: removeAgent,
     })
     agents.set(target.id, agent)
     return agent
@@ -145,14 +149,17 @@
     const known = agents.get(target.id)
     if (known && isReplaced(known, target))
       return known.markGone('another life is listed under its id')
-    if (known && isMisplaced(known, target)) closeMisplaced(known)
+    if (known && hasStaleAddress(known, target)) closeIdleAgent(known)
     const agent = agents.get(target.id)
     if (agent) {
       agent.update(target)
       agent.listed = true
       // One whose inherited row could not be read has none that a successor could use.
       roster.add(target)
-    } else if (!target.draining && goneLives.get(target.id)?.key !== lifeKey(target)) {
+    } else if (
+      !target.draining &&
+      goneIncarnations.get(target.id)?.key !== incarnationKey(target)
+    ) {
       open(target)
       roster.add(target)
     }
@@ -168,7 +175,7 @@
   }
 
   /** Whether the list has an entry of the life, be it one that cannot be read. */
-  const isShown = (id: string): boolean =>
+  const isInList = (id: string): boolean =>
     targets.byId().has(id) || targets.unreadableSince(id) !== undefined
 
   function follow(): void {
@@ -176,15 +183,16 @@
     for (const target of listed.values()) {
       if (target.service === service) followListed(target)
     }
-    for (const id of goneLives.keys()) if (!isShown(id)) goneLives.delete(id)
-    for (const id of nextBumps.keys())
-      if (!isShown(id) && !agents.has(id)) nextBumps.delete(id)
+    for (const id of goneIncarnations.keys())
+      if (!isInList(id)) goneIncarnations.delete(id)
+    for (const id of nextTokenOffsets.keys())
+      if (!isInList(id) && !agents.has(id)) nextTokenOffsets.delete(id)
     for (const agent of agents.values()) {
       const entry = listed.get(agent.target.id)
       if (agent.listed && entry?.service !== service) noteUnlisted(agent)
       // Its own owner must not be fenced by our calls.
-      const isOthers = entry !== undefined && entry.service !== service
-      if (isOthers && agent.placements.size === 0) closeMisplaced(agent)
+      const isOfOtherService = entry !== undefined && entry.service !== service
+      if (isOfOtherService && agent.placements.size === 0) closeIdleAgent(agent)
     }
     opts.changed()
   }
@@ -193,26 +201,29 @@
     inherit: (entries) => entries.forEach(openInherited),
     reopen() {
       const now = monotonicMs()
-      const shown = [...goneLives].filter(([, { at }]) => now - at > SHOWN_AFTER_END_MS)
-      for (const [id] of shown) goneLives.delete(id)
-      if (shown.length > 0) follow()
+      const stillListed = [...goneIncarnations].filter(
+        ([, { detectedAt }]) => now - detectedAt > MAX_LISTED_AFTER_END_MS,
+      )
+      for (const [id] of stillListed) goneIncarnations.delete(id)
+      if (stillListed.length > 0) follow()
     },
     follow,
   }
 }
 
 /** A life that is over as far as is known. */
-interface GoneLife {
+interface GoneIncarnation {
   key: string
   /** Steady time at which that was found out, in ms. */
-  at: number
+  detectedAt: number
 }
 
 /** Distinguishes lives that have the same id. */
-const lifeKey = ({ lifeStartMs, address }: Target): string => `${lifeStartMs} ${address}`
+const incarnationKey = ({ lifeStartMs, address }: Target): string =>
+  `${lifeStartMs} ${address}`
 
 /** A target that only the roster names; nothing is known of its size. */
-function unlistedTarget(id: string, address: string, service: string): Target {
+function createUnlistedTarget(id: string, address: string, service: string): Target {
   const capacity = { cpu: 0, memMb: 0, gpu: 0 }
   return {
     id,
--- a/src/scheduler/targetLease.ts
+++ b/src/scheduler/targetLease.ts
@@ -23,9 +23,9 @@
   /** End of a lease that begins now, on the target's clock; undefined before it is known. */
   extend(): number | undefined
   /** Whether every lease that was given is over, also on a clock that is slow. */
-  isOver(): boolean
+  isExpired(): boolean
   /** Steady time at which that is so, in ms. */
-  overAt(): number
+  expiresAt(): number
 }
 
 /**
@@ -34,29 +34,29 @@
  */
 export function createTargetLease(inheritedMs: number): TargetLease {
   let clock: { clockMs: number; at: number } | undefined
-  let overAt = monotonicMs() + inheritedMs
+  let expiresAt = monotonicMs() + inheritedMs
 
   return {
     noteClock(clockMs) {
       const now = monotonicMs()
-      const expected = clock ? clock.clockMs + (now - clock.at) : -Infinity
-      if (clockMs >= expected || now - (clock?.at ?? 0) > SYNC_WAIT_MS) {
+      const expectedMs = clock ? clock.clockMs + (now - clock.at) : -Infinity
+      if (clockMs >= expectedMs || now - (clock?.at ?? 0) > SYNC_WAIT_MS) {
         clock = { clockMs, at: now }
       }
     },
     reset(clockMs) {
       const now = monotonicMs()
       clock = { clockMs, at: now }
-      overAt = now + MAX_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      expiresAt = now + MAX_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
     },
     extend() {
       if (!clock) return undefined
       const now = monotonicMs()
-      const lasts = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
-      overAt = Math.max(overAt, now + lasts)
+      const durationMs = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      expiresAt = Math.max(expiresAt, now + durationMs)
       return Math.floor(clock.clockMs + (now - clock.at) + TASK_LEASE_MS)
     },
-    isOver: () => monotonicMs() >= overAt,
-    overAt: () => overAt,
+    isExpired: () => monotonicMs() >= expiresAt,
+    expiresAt: () => expiresAt,
   }
 }
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -20,10 +20,10 @@
  * Time after which a run that is still listed is ordered to stop again, in ms: longer than a
  * stop takes on a target that is well.
  */
-const STOP_AGAIN_MS = 1500
+const STOP_RETRY_MS = 1500
 
 /** Reason for giving up a run that a later life of its target does not list. */
-const EARLIER_LIFE_OVER = 'the life of the target that it was sent to is over'
+const EARLIER_INCARNATION_OVER = 'the life of the target that it was sent to is over'
 
 /** What is known of a run on the target. */
 export interface Placement {
@@ -36,13 +36,13 @@
   /** Steady time of the start order, in ms. */
   sentAt: number
   /** Steady time of the last stop order, in ms. */
-  stopAskedAt: number
+  stopOrderedAt: number
   /** Target's clock when it confirmed the start, in ms. */
-  confirmedClock: number
+  confirmedClockMs: number
   /** Under this token or a newer one, an absent run is over or was never started. */
-  fencedBy: number
+  fencedByToken: number
   /** Its start was sent before the target restarted and may have reached the earlier life. */
-  isOfEarlierLife: boolean
+  isOfEarlierIncarnation: boolean
   percent: number
   /** Steady time of the report that said so, in ms; 0 before the first. */
   reportedAt: number
@@ -55,12 +55,12 @@
   readonly placements: ReadonlyMap<string, Placement>
   readonly room: Room
   /** Highest number of an end that has been passed on. */
-  endsSeen(): number
+  lastEndSeq(): number
   /**
    * Highest number of an end that a successor need not see again once all that was passed on is
    * durable: those of jobs that are still to be read are in memory only.
    */
-  endsToAck(): number
+  ackableEndSeq(): number
   /** Runs last reported whose jobs are held; how much room they take is not known. */
   heldCount(): number
   /** Adopts those of them whose jobs have become known since. */
@@ -80,7 +80,7 @@
    * Resets what is known for another life of the target. Runs ordered before are unsure until
    * that life reports under the token; those that it does not list then are given up.
    */
-  switchLife(token: number): void
+  switchIncarnation(token: number): void
   /** Gives up every run that is left, except those of the kept tasks. */
   giveUpAll(reason: string, kept?: ReadonlySet<Task>): void
   /** Records the target's clock as given in an answer. */
@@ -116,7 +116,7 @@
   const { id: targetId, capacity } = opts.target
   const placements = new Map<string, Placement>()
   const room = createRoom(capacity)
-  let endsSeen = 0
+  let lastEndSeq = 0
   /** Last known value of the target's clock, in ms. */
   let clockMs = 0
   /** Runs of the last report whose jobs are held, by name of the task. */
@@ -149,19 +149,19 @@
     book.runVanished(task)
   }
 
-  function noteUnheard(name: string, silentMs: number): void {
+  function noteUnheardDelay(name: string, silentMs: number): void {
     const task = book.task(name)
     if (task) noteDelay(task.step.job.delays, 'unheardMs', silentMs)
   }
 
   function applyEnds(report: TargetReport, silentMs: number): void {
     for (const end of [...report.ends].sort((a, b) => a.seq - b.seq)) {
-      if (end.seq <= endsSeen) continue
-      endsSeen = end.seq
+      if (end.seq <= lastEndSeq) continue
+      lastEndSeq = end.seq
       if (book.mayMissJobs && book.isHeld(end.task)) unreadEnds.push(end)
       const placement = placements.get(end.task)
       if (placement && placement.run <= end.run) remove(placement)
-      noteUnheard(end.task, silentMs)
+      noteUnheardDelay(end.task, silentMs)
       const task = book.applyEnd(targetId, end)
       const { task: name, run, kind } = end
       log.event('runEnded', { task: name, run, target: targetId, kind })
@@ -178,7 +178,7 @@
     const wanted = task && (task.phase === 'ready' || task.phase === 'blocked')
     if (task && wanted && !task.step.job.outcome) {
       const placement = add(task, run, 'running')
-      placement.confirmedClock = Infinity
+      placement.confirmedClockMs = Infinity
       book.place(task, targetId, Math.max(task.run, run))
       book.noteBegun(task)
       log.event('runAdopted', { task: name, run, target: targetId })
@@ -193,17 +193,17 @@
   function confirmAdopted(report: TargetReport): void {
     for (const run of report.runs) {
       const placement = placements.get(run.task)
-      if (placement?.confirmedClock === Infinity)
-        placement.confirmedClock = report.clockMs
+      if (placement?.confirmedClockMs === Infinity)
+        placement.confirmedClockMs = report.clockMs
     }
   }
 
   /** A stop that went unanswered is ordered again: else its run holds its room for ever. */
-  function stopAgain(placement: Placement): void {
+  function retryStop(placement: Placement): void {
     if (placement.state !== 'stopping') return
-    if (monotonicMs() - placement.stopAskedAt < STOP_AGAIN_MS) return
+    if (monotonicMs() - placement.stopOrderedAt < STOP_RETRY_MS) return
     const { name, run } = placement
-    placement.stopAskedAt = monotonicMs()
+    placement.stopOrderedAt = monotonicMs()
     log.event('runUnwanted', { task: name, run, target: targetId })
     opts.unwanted(name, run)
   }
@@ -216,7 +216,7 @@
       if (!placement) adopt(run)
       else if (placement.run === run.run) {
         updatePlacement(placement, run)
-        stopAgain(placement)
+        retryStop(placement)
       }
       if (placement?.task) book.noteBegun(placement.task)
     }
@@ -238,11 +238,14 @@
     const reported = new Set(report.runs.map(({ task }) => task))
     for (const placement of [...placements.values()]) {
       if (reported.has(placement.name)) continue
-      const fenced = reportToken >= placement.fencedBy
-      const confirmed = placement.confirmedClock > 0
+      const fenced = reportToken >= placement.fencedByToken
+      const confirmed = placement.confirmedClockMs > 0
       if (fenced)
-        giveUp(placement, placement.isOfEarlierLife ? EARLIER_LIFE_OVER : 'never started')
-      else if (confirmed && report.clockMs > placement.confirmedClock) {
+        giveUp(
+          placement,
+          placement.isOfEarlierIncarnation ? EARLIER_INCARNATION_OVER : 'never started',
+        )
+      else if (confirmed && report.clockMs > placement.confirmedClockMs) {
         if (authority.isConfirmed()) giveUp(placement, 'not listed any more')
       }
     }
@@ -251,11 +254,11 @@
   return {
     placements,
     room,
-    endsSeen: () => endsSeen,
-    endsToAck() {
+    lastEndSeq: () => lastEndSeq,
+    ackableEndSeq() {
       unreadEnds = unreadEnds.filter(({ task }) => book.mayMissJobs && book.isHeld(task))
       const [first] = unreadEnds
-      return first ? first.seq - 1 : endsSeen
+      return first ? first.seq - 1 : lastEndSeq
     },
     heldCount: () => heldRuns.size,
     adoptKnown() {
@@ -279,20 +282,20 @@
     fence(token) {
       for (const placement of placements.values()) {
         if (placement.state === 'unsure')
-          placement.fencedBy = Math.min(placement.fencedBy, token)
+          placement.fencedByToken = Math.min(placement.fencedByToken, token)
       }
     },
-    switchLife(token) {
-      endsSeen = 0
+    switchIncarnation(token) {
+      lastEndSeq = 0
       unreadEnds = []
       heldRuns.clear()
       for (const placement of placements.values()) {
         // Its start has not been sent yet and will go to the new life.
         if (!placement.mayHaveBegun) continue
         if (placement.state !== 'stopping') placement.state = 'unsure'
-        placement.isOfEarlierLife = true
-        placement.confirmedClock = 0
-        placement.fencedBy = token
+        placement.isOfEarlierIncarnation = true
+        placement.confirmedClockMs = 0
+        placement.fencedByToken = token
       }
     },
     giveUpAll(reason, kept) {
@@ -322,10 +325,10 @@
     state,
     mayHaveBegun: state !== 'starting',
     sentAt: -Infinity,
-    stopAskedAt: -Infinity,
-    confirmedClock: 0,
-    fencedBy: Infinity,
-    isOfEarlierLife: false,
+    stopOrderedAt: -Infinity,
+    confirmedClockMs: 0,
+    fencedByToken: Infinity,
+    isOfEarlierIncarnation: false,
     percent: 0,
     reportedAt: 0,
     load: 0,
--- a/src/scheduler/targetSilence.ts
+++ b/src/scheduler/targetSilence.ts
@@ -6,7 +6,7 @@
 export interface TargetSilence {
   isAnswering(): boolean
   /** Calls of which the first was sent at this steady time, in ms, went unanswered. */
-  missed(sentAt: number): void
+  noteMissed(sentAt: number): void
   /** It counts as silent from now on. */
   begin(reason: string): void
   /**
@@ -19,21 +19,21 @@
 
 /** A target that answers until the contrary is seen. */
 export function createTargetSilence(targetId: string, log: Logger): TargetSilence {
-  let answering = true
+  let isAnswering = true
   let missedSince: number | undefined
 
   return {
-    isAnswering: () => answering,
-    missed: (sentAt) => void (missedSince ??= sentAt),
+    isAnswering: () => isAnswering,
+    noteMissed: (sentAt) => void (missedSince ??= sentAt),
     begin(reason) {
-      if (answering) log.event('targetSilent', { target: targetId, reason })
-      answering = false
+      if (isAnswering) log.event('targetSilent', { target: targetId, reason })
+      isAnswering = false
     },
     end(ends) {
       const silentMs = missedSince === undefined ? 0 : monotonicMs() - missedSince
       const fields = { target: targetId, silentMs: Math.round(silentMs), ends }
-      if (!answering) log.event('targetAnswers', fields)
-      answering = true
+      if (!isAnswering) log.event('targetAnswers', fields)
+      isAnswering = true
       missedSince = undefined
       return silentMs
     },
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -9,9 +9,9 @@
 import type { TargetAgent } from './types.js'
 
 /** Targets named in one call: the platform counts a call on 30 as usual. */
-const CANDIDATES = 30
+const MAX_CANDIDATES = 30
 /** A ticket is not used when it holds for less than this, in ms: about an order's way. */
-const MIN_LEFT_MS = 150
+const MIN_VALID_MS = 150
 /** Pause after a call that failed, in ms. */
 const RETRY_MS = 300
 
@@ -21,13 +21,13 @@
   /** Asks for a step that waits, if nothing is known that holds. */
   want(step: Step, agents: TargetAgent[]): void
   /** A target did not accept the ticket. */
-  drop(step: Step, targetId: string): void
+  discard(step: Step, targetId: string): void
 }
 
 interface StepAdvice {
   tickets: Map<string, string>
   validUntil: number
-  asking: boolean
+  isAsking: boolean
 }
 
 export function createTickets(opts: {
@@ -37,15 +37,19 @@
   changed(): void
 }): Tickets {
   const { advice, log } = opts
-  const known = new WeakMap<Step, StepAdvice>()
+  const adviceByStep = new WeakMap<Step, StepAdvice>()
 
-  async function ask(step: Step, state: StepAdvice, ids: string[]): Promise<void> {
+  async function requestTickets(
+    step: Step,
+    state: StepAdvice,
+    ids: string[],
+  ): Promise<void> {
     if (!advice) return log.event('adviceMissing', { job: step.job.spec.id })
-    state.asking = true
+    state.isAsking = true
     const name = `${step.job.spec.id}.${step.occurrence}.${step.index}`
     const sentAt = monotonicMs()
     const res = await advice.ask(name, ids)
-    state.asking = false
+    state.isAsking = false
     if (res.isErr()) {
       log.event('adviceFailed', { step: name, reason: describeError(res.error) })
       state.validUntil = monotonicMs() + RETRY_MS
@@ -65,24 +69,24 @@
 
   return {
     find(step, agent) {
-      const state = known.get(step)
-      if (!state || state.validUntil - monotonicMs() < MIN_LEFT_MS) return undefined
+      const state = adviceByStep.get(step)
+      if (!state || state.validUntil - monotonicMs() < MIN_VALID_MS) return undefined
       return state.tickets.get(agent.target.id)
     },
     want(step, agents) {
-      const state = known.get(step) ?? {
+      const state = adviceByStep.get(step) ?? {
         tickets: new Map(),
         validUntil: 0,
-        asking: false,
+        isAsking: false,
       }
-      known.set(step, state)
-      if (state.asking || state.validUntil - monotonicMs() >= MIN_LEFT_MS) return
+      adviceByStep.set(step, state)
+      if (state.isAsking || state.validUntil - monotonicMs() >= MIN_VALID_MS) return
       const candidates = agents.filter(
         (agent) => agent.isUsable() && agent.room.fits(step),
       )
-      const ids = candidates.slice(0, CANDIDATES).map(({ target }) => target.id)
-      if (ids.length > 0) void ask(step, state, ids)
+      const ids = candidates.slice(0, MAX_CANDIDATES).map(({ target }) => target.id)
+      if (ids.length > 0) void requestTickets(step, state, ids)
     },
-    drop: (step, targetId) => void known.get(step)?.tickets.delete(targetId),
+    discard: (step, targetId) => void adviceByStep.get(step)?.tickets.delete(targetId),
   }
 }
--- a/src/scheduler/types.ts
+++ b/src/scheduler/types.ts
@@ -28,13 +28,13 @@
   /** Whether nothing keeps everything new from it. */
   isUsable(): boolean
   /** How often the token was raised within this term, earlier lives of the id included. */
-  bump(): number
+  tokenOffset(): number
   /** Steady time up to which it is paused, in ms. */
   pausedUntil(): number
   /** Whether it has been heard by this owner, or everything on it is surely dead. */
   isSettled(): boolean
   /** Steady time at which this life was first heard by this owner, in ms; Infinity before. */
-  heardSince(): number
+  firstReportAt(): number
   /** Steady time by which it is settled at the latest, in ms, unless its lease is extended. */
   settledBy(): number
   /** Whether it last answered. */
