--- a/src/scheduler/arrivals.ts
+++ b/src/scheduler/arrivals.ts
@@ -1,44 +1,49 @@
-/** Rate at which the work of one queue arrives, seen as soon as it jumps. */
+/**
+ * Estimates the arrival rate of the work of one queue over several windows, so that a sudden
+ * rise is seen at once.
+ */
 
 /** Longest window, in ms. */
 const MAX_WINDOW_MS = 3000
-/** Arrivals that are looked at: enough for a rate within a quarter of the true one. */
+/** Largest window, in arrivals: enough for a rate within a quarter of the true one. */
 const MAX_ARRIVALS = 16
-/** Arrivals after the first of a window without which nothing is said of a rate. */
+/** Arrivals after the first that a window needs for a rate. */
 const MIN_ARRIVALS = 2
 /**
- * Standard deviations of chance that are taken off each window's count. The highest of
- * the windows' rates is taken, and this much cancels what is chance in the highest.
+ * Number of standard deviations taken off the count of each window. The highest rate of all
+ * windows is used, which is biased upwards by chance; this cancels the bias.
  */
 const DISCOUNT_DEVIATIONS = 0.8
 /**
- * Highest rate that silence allows, in jobs over its length: at this rate it has a chance
- * of 0.14. Without it a slow queue seemed to go on for 3 s after its last job.
+ * Expected number of jobs, in the time since the last one, that bounds the rate. At that rate,
+ * such a gap has a probability of 0.14. Without the bound a slow queue seemed to go on for 3 s
+ * after its last job.
  */
 const MAX_SILENCE_JOBS = 2
-/** Shortest span of a window, in ms: jobs of one caller may come within a millisecond. */
+/** Shortest span of a window, in ms: jobs of one caller may arrive within a millisecond. */
 const MIN_SPAN_MS = 30
-/** Weight of one more job in the mean work of a job, once that many were seen. */
+/** Weight of the newest job in the mean work of a job, once 20 jobs have been averaged evenly. */
 const MEAN_WEIGHT = 0.05
 
-/** Follows the jobs of one queue. */
+/** Measures the work that arrives in one queue. */
 export interface ArrivalMeter {
   /**
-   * Notes a job. A new owner reads of jobs in any order.
+   * Adds a job. Calls need not be in order of time, as a new owner reads jobs in any order.
    * @param work thousandths of a core times ms
+   * @param now time of the arrival, in ms
    */
   note(work: number, now: number): void
-  /** Processor room, in thousandths of a core, that the work takes if it goes on so. */
+  /** Processor capacity that the work takes at its current rate, in thousandths of a core. */
   expectedCpu(now: number): number
 }
 
-/** Creates a meter that has seen nothing. */
+/** Creates a meter without any arrivals. */
 export function createArrivalMeter(): ArrivalMeter {
   let times: number[] = []
   let meanWork = 0
   let jobCount = 0
 
-  /** Highest rate of the windows that end now and begin with an arrival, in jobs per ms. */
+  /** Highest rate of all windows that end now and begin with an arrival, in jobs per ms. */
   function jobsPerMs(now: number): number {
     let highest = 0
     for (let count = MIN_ARRIVALS; count < times.length; count++) {
--- a/src/scheduler/ask.ts
+++ b/src/scheduler/ask.ts
@@ -1,8 +1,8 @@
 /**
- * Calls a target again where an answer is missing. Every order may be sent twice: a start
- * that exists is confirmed, one that has ended is refused, and a late one finds either.
- * If the target has restarted, its new life carries out a repeated start once more, which is
- * safe because every run of the earlier life is over.
+ * Retries calls to a target that go unanswered. Orders are idempotent: a start is confirmed if
+ * its run exists and refused if the run has ended, also when it arrives late. A target that has
+ * restarted carries out a repeated start again, which is safe because all runs of its earlier
+ * incarnation are over.
  */
 import type { Result } from 'neverthrow'
 import type { OrderError, OrderResult } from '../ports/index.js'
@@ -10,33 +10,36 @@
 import type { RoundTrip } from '../shared/index.js'
 import { ANSWER_TIMEOUT_MS, MIN_ANSWER_MS } from './constants.js'
 
-/** Calls that are made at most before a target counts as silent. */
+/** Largest number of calls before the target counts as silent. */
 const MAX_CALLS = 3
 
-/** What became of a call and its repetitions. */
+/** Result of a call with its retries. */
 export interface CallResult<T> {
-  /** Result of the last one. */
+  /** Result of the last call. */
   res: Result<T, OrderError>
-  /** Earlier ones without an answer; each of them may be carried out yet. */
+  /** Number of earlier calls without an answer; each of them may still be carried out. */
   unansweredCalls: number
 }
 
-/** How a target is asked. */
+/** Options of a call with retries. */
 export interface CallOptions<T> {
   roundTrip: RoundTrip
   /**
    * Makes one call.
-   * @param timeoutMs time after which it is given up, once the target could have answered
-   * @param waitMs time that the target may wait before it answers
+   * @param timeoutMs time-out, counted from when the target could have answered
+   * @param waitMs time for which the target may hold the call before it answers
    */
   send(timeoutMs: number, waitMs: number): OrderResult<T>
-  /** Time that the target may wait at the first call, in ms. */
+  /** Time for which the target may hold the first call, in ms. */
   waitMs?: number
-  /** Whether the answer is still wanted after a call without one. */
+  /** Whether an unanswered call may be retried; always by default. */
   mayRetry?(): boolean
 }
 
-/** Calls until there is an answer, for {@link ANSWER_TIMEOUT_MS} at most. */
+/**
+ * Calls a target until it answers, for `waitMs` and {@link ANSWER_TIMEOUT_MS} at most. Only
+ * unanswered calls are retried, not failed ones.
+ */
 export async function callWithRetries<T>(opts: CallOptions<T>): Promise<CallResult<T>> {
   const { roundTrip, send, waitMs = 0, mayRetry = () => true } = opts
   const deadline = monotonicMs() + waitMs + ANSWER_TIMEOUT_MS
--- a/src/scheduler/crashRecorder.ts
+++ b/src/scheduler/crashRecorder.ts
@@ -1,4 +1,4 @@
-/** Attributes crashes of a target to the runs that may have caused them, and records them. */
+/** Records crashes of a target and the runs that may have caused them. */
 import type { JobBook, Task } from '../jobs/index.js'
 import type { OrderError } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
--- a/src/scheduler/crashSuspects.ts
+++ b/src/scheduler/crashSuspects.ts
@@ -13,7 +13,7 @@
   role: CrashRole
 }
 
-/** Uptime of a run that the target has confirmed, in ms of the target's clock. */
+/** Time since the target confirmed the start of a run, in ms of its clock; 0 if it has not. */
 export function confirmedUptimeMs(
   { confirmedClockMs }: Placement,
   clockMs: number,
@@ -45,7 +45,7 @@
  * The runs to which a crash is attributed: the recently started ones, or if there are none, all
  * with a confirmed uptime below LONG_STABLE_AFTER_MS.
  * @param clockMs last known value of the target's clock
- * @param disconnectedAt steady time of the first failed connection, in ms
+ * @param disconnectedAt monotonic time of the first failed connection, in ms
  */
 export function findCrashedRuns(
   placements: Iterable<Placement>,
--- a/src/scheduler/leavingTargets.ts
+++ b/src/scheduler/leavingTargets.ts
@@ -1,6 +1,6 @@
 /**
- * Targets that leave: those that drain, and those that the list does not show any more.
- * Their tasks go elsewhere, and their agents are closed once nothing is left there.
+ * Handles leaving targets: those that drain, and those that are no longer listed. Moves their
+ * tasks to other targets and closes their agents once they have no runs left.
  */
 import type { TargetList } from '../directory/index.js'
 import { monotonicMs } from '../shared/index.js'
@@ -9,7 +9,7 @@
 import { moveTasksAway } from './evacuation.js'
 import type { TargetAgent } from './types.js'
 
-/** What the look at leaving targets works with. */
+/** Inputs of the checks for leaving targets. */
 export interface LeavingTargetsOptions {
   targets: TargetList
   /** All targets of the service. */
@@ -17,16 +17,16 @@
   log: Logger
 }
 
-/** Targets off the list whose tasks are all over need no agent any more. */
+/** Marks unlisted targets as gone that have no runs and do not answer. */
 export function closeLapsed({ agents }: Pick<LeavingTargetsOptions, 'agents'>): void {
   for (const agent of agents) {
     if (agent.listed || agent.placements.size > 0) continue
     if (agent.isSettled() && !agent.isAnswering())
-      agent.markGone('off the list and silent')
+      agent.markGone('not listed and not answering')
   }
 }
 
-/** What runs on a leaving target dies with it: it goes elsewhere before. */
+/** Moves tasks off leaving targets, as their runs end with the target. */
 export function emptyLeaving({ targets, agents, log }: LeavingTargetsOptions): void {
   for (const agent of agents) {
     const isLeaving = agent.target.draining || isGoneFromList(agent, targets)
@@ -36,9 +36,9 @@
 }
 
 /**
- * Whether the target has left without a word. After an outage of the store the list
- * says so only once those that live have had the time to come back; an entry that cannot be
- * read is often written anew, by the target itself, at its next heartbeat.
+ * Whether the target has left the list without draining. After an outage of the store, live
+ * targets need some time to list themselves again, and an unreadable entry is often rewritten
+ * by the target itself at its next heartbeat; so both are given {@link LIST_RETURN_MS}.
  */
 function isGoneFromList(agent: TargetAgent, targets: TargetList): boolean {
   const unreadableSince = targets.unreadableSince(agent.target.id) ?? -Infinity
--- a/src/scheduler/lifeCheck.ts
+++ b/src/scheduler/lifeCheck.ts
@@ -1,37 +1,40 @@
 /**
- * Finds out that a silent target is gone, from the list of VMs: a life that no VM has is
- * over, so its tasks need not wait for the end of their leases.
+ * Detects from the cloud's list of VMs that a silent target is gone. If no VM has its id, its
+ * tasks can start elsewhere without waiting until their leases expire.
  */
 import type { VmCloud } from '../ports/index.js'
 import { describeError, monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import type { TargetAgent } from './types.js'
 
-/** Time between two readings at least, in ms. */
+/** Shortest time between two reads of the list, in ms. */
 const READ_INTERVAL_MS = 700
-/** The same while the last one leaves a life in doubt, or another target has fallen silent, in ms. */
+/** The same after a read that lacked a silent target, or after another target fell silent, in ms. */
 const URGENT_READ_INTERVAL_MS = 250
-/** The latter as a multiple of the time that a reading takes: a long list fills a thin link. */
+/** Least ratio of that time to the duration of a read, as a long list fills a slow link. */
 const READ_PAUSE_FACTOR = 4
-/** Longest time after which the list shows a life that has begun, in ms. */
+/** Longest time until the list shows a VM that has started, in ms. */
 const MAX_LIST_LAG_MS = 1500
 /**
- * Time for which the list must not have shown a life before it counts as over, in ms: two readings,
- * as one may have left out a row that could not be read.
+ * Time for which the list must lack a VM before its target counts as gone, in ms. It takes two
+ * reads, as one may leave out a row that could not be read.
  */
 const ABSENT_MS = 200
-/** The same for a life that was first heard lately, or never, and may be too young for the list. */
+/** The same for a target that first answered lately or never, and may not be listed yet. */
 const YOUNG_ABSENT_MS = 700
 
+/** Checks silent targets against the list of VMs. */
 export interface LifeCheck {
-  /** Looks, where there is need and the last look is old enough. */
+  /** Reads the list if a target is in doubt and the last read is old enough. */
   run(agents: TargetAgent[]): Promise<void>
 }
 
+/** Creates the check; without a cloud it does nothing. */
+
 export function createLifeCheck(cloud: VmCloud | undefined, log: Logger): LifeCheck {
-  /** Steady time of the first reading without the life, by id, in ms. */
+  /** Monotonic time of the first read that lacked the target, in ms, by id. */
   const absentSince = new Map<string, number>()
-  /** Ids of the silent targets at the last reading. */
+  /** Ids of the targets in doubt at the last read. */
   let lastReadIds = new Set<string>()
   let lastReadAt = -Infinity
   let lastReadTookMs = 0
@@ -39,11 +42,11 @@
   const isDoubtful = (agent: TargetAgent): boolean =>
     !agent.isAnswering() && (agent.placements.size > 0 || !agent.isSettled())
 
-  /** Whether a reading sent at that time must show the life unless it is over. */
+  /** Whether a read sent at that time must show the target's VM unless it is gone. */
   const mustBeListed = (agent: TargetAgent, sentAt: number): boolean =>
     sentAt - agent.firstReportAt() > MAX_LIST_LAG_MS
 
-  /** Time from the last reading to the next one, in ms. */
+  /** Shortest time from the last read to the next one, in ms. */
   function intervalMs(doubtful: TargetAgent[]): number {
     const isUrgent =
       absentSince.size > 0 || doubtful.some(({ target }) => !lastReadIds.has(target.id))
@@ -52,7 +55,10 @@
       : READ_INTERVAL_MS
   }
 
-  /** @param sentAt steady time at which the reading was asked for, in ms */
+  /**
+   * Notes that a read lacked the target, and marks it as gone once it was absent long enough.
+   * @param sentAt monotonic time at which the read was sent, in ms
+   */
   function noteAbsence(agent: TargetAgent, sentAt: number): void {
     const { id } = agent.target
     const since = absentSince.get(id) ?? sentAt
@@ -60,7 +66,7 @@
     const absentMs = mustBeListed(agent, sentAt) ? ABSENT_MS : YOUNG_ABSENT_MS
     if (sentAt - since < absentMs) return
     absentSince.delete(id)
-    agent.markGone('no VM has this life')
+    agent.markGone('no VM has its id')
   }
 
   return {
--- a/src/scheduler/orderSender.ts
+++ b/src/scheduler/orderSender.ts
@@ -1,8 +1,8 @@
 /**
- * Sends the orders for one target, one after another, and notes what became of each start.
- * Stops go first: behind starts, each as late as this process, they came 1.3 s late. A stop
- * never overtakes its start: one that waits is left out instead, and one that has been sent
- * is answered before.
+ * Queues the orders for one target, sends them one at a time and records the outcome of each
+ * start. Stops are sent first: queued behind starts on a loaded owner, they were 1.3 s late.
+ * A stop never overtakes the start of its run: a start that is still queued is cancelled
+ * instead, and one that has been sent is answered before the stop is sent.
  */
 import { isCrashSuspect, noteDelay } from '../jobs/index.js'
 import type { JobBook, Task } from '../jobs/index.js'
@@ -23,43 +23,43 @@
 import type { StartWindow } from './startWindow.js'
 import type { Placement, TargetRuns } from './targetRuns.js'
 
-/** An order that waited longer for its turn is told, in ms: a few answers of a sound target. */
+/** Wait in the queue above which an order is logged as late, in ms: a few typical answer times. */
 const LATE_ORDER_MS = 300
 
 /**
- * Time for which starts may wait for those before them, in ms: they are placed late rather than
- * behind one another. On a link that delays each answer by 0.3 s the tenth start waited 3 s, while
- * another target of the pool had room.
+ * Longest expected wait of a queued start, in ms. Beyond it, tasks stay unplaced, so that another
+ * target can take them. On a link that delays each answer by 0.3 s, the tenth queued start waited
+ * 3 s while another target of the pool had room.
  */
 const MAX_START_WAIT_MS = 600
-/** Starts that may wait on any target, so that one which is slow gets the next one at once. */
+/** Starts that may be queued on any target, so that a slow one gets its next start at once. */
 const MIN_QUEUED_STARTS = 3
-/** Weight of the newest answer in the time that a start takes. */
+/** Weight of the newest start in the mean time that a start takes. */
 const NEWEST_START_WEIGHT = 0.3
 
-/** Kinds of orders, the first to be sent first. */
+/** Kinds of orders, by descending priority. */
 const ORDER_KINDS = ['stop', 'start', 'pace'] as const
 type OrderKind = (typeof ORDER_KINDS)[number]
 
-/** An order that waits for its turn. */
+/** An order that has not been sent yet. */
 interface QueuedOrder {
   task: string
   queuedAt: number
   send(): Promise<void>
 }
 
-/** Orders for one target; each is sent when the one before it has been answered. */
+/** Orders for one target. Each is sent once the one before it is answered or has failed. */
 export interface OrderSender {
   start(task: Task, placement: Placement, ticket: string): void
   stop(name: string, run: number): void
   pace(placement: Placement, percent: number): void
-  /** Starts that it takes now without letting them wait for long. */
+  /** Number of starts that can be queued now without a long wait. */
   startsLeft(): number
-  /** Resolves when what was ordered so far is over. */
+  /** Resolves once all queued orders are sent and answered, or dropped. */
   idle(): Promise<void>
 }
 
-/** What the sender works with. */
+/** Dependencies and callbacks of the sender. */
 export interface OrderSenderOptions {
   targetId: string
   link: TargetLink
@@ -70,33 +70,33 @@
   roundTrip: RoundTrip
   /** Starts in flight on all targets of the owner. */
   startWindow: StartWindow
-  /** Once it fires, orders that wait are not sent any more. */
+  /** Aborts sending; queued orders are dropped. */
   signal: AbortSignal
   log: Logger
-  /** The token that orders carry now. */
+  /** Returns the current fencing token. */
   token(): number
-  /** The target should get nothing new for so long, in ms. */
+  /** Called when the target must get no new tasks for the given time, in ms. */
   pause(ms: number): void
-  /** An order has failed in a way that speaks against the target. */
+  /** Called when an order has failed for a reason that lies with the target. */
   failed(error: OrderError): void
-  /** A start may still come; resolves once the target refuses it if it comes late. */
+  /** Makes the target refuse unanswered starts that arrive late; resolves after the call. */
   fenceUnanswered(): Promise<void>
-  /** The start of a crash suspect has been confirmed. */
+  /** Called when the start of a crash suspect is confirmed. */
   suspectStarted(task: Task): void
-  /** The target did not accept the ticket of a task's step. */
+  /** Called when the target refused the ticket of the task's step. */
   ticketRefused(task: Task): void
-  /** Room or state have changed. */
+  /** Called when the free room or the state of the target have changed. */
   changed(): void
 }
 
-/** Creates the sender of one target. */
+/** Creates the sender of one target, with empty queues. */
 export function createOrderSender(opts: OrderSenderOptions): OrderSender {
   const { targetId, link, book, authority, runs, lease, roundTrip, token, log } = opts
   const { startWindow } = opts
   const queues: Record<OrderKind, QueuedOrder[]> = { stop: [], start: [], pace: [] }
-  /** Resolves once nothing waits any more; undefined while nothing is sent. */
+  /** Resolves once the queues are empty; undefined while nothing is sent. */
   let sending: Promise<void> | undefined
-  /** Time that a start takes, in ms. */
+  /** Moving average of the time that a start takes, in ms. */
   let meanStartMs = 0
 
   const startsLeft = (): number => {
@@ -124,12 +124,12 @@
       meanStartMs === 0
         ? tookMs
         : meanStartMs + (tookMs - meanStartMs) * NEWEST_START_WEIGHT
-    // What was kept from it for the others that waited may come now.
+    // Tasks may have stayed unplaced because the queue was full.
     if (queues.start.length === 0) opts.changed()
   }
 
   async function drainQueues(): Promise<void> {
-    // Whoever orders finishes its turn first.
+    // Lets the caller finish its synchronous work before the first order is sent.
     await Promise.resolve()
     for (;;) {
       const kind = ORDER_KINDS.find((each) => queues[each].length > 0)
@@ -144,7 +144,7 @@
     sending ??= drainQueues()
   }
 
-  /** Leaves a start out that has not been sent; false when there is none. */
+  /** Cancels the queued start of a run; returns false when there is none. */
   function cancelQueuedStart(name: string, run: number): boolean {
     const index = queues.start.findIndex(({ task }) => task === name)
     const placement = runs.placements.get(name)
@@ -156,7 +156,7 @@
     return true
   }
 
-  /** Gives back what waits for a target that did not take a start, to be done elsewhere. */
+  /** Cancels all queued starts after a failed one, so that their tasks are placed elsewhere. */
   function cancelQueuedStarts(): void {
     for (const { task } of queues.start.splice(0)) {
       startWindow.closed()
@@ -165,7 +165,7 @@
     }
   }
 
-  /** The run of a start that is not sent never was. */
+  /** Removes the placement of a start that was not sent, and makes its task ready again. */
   function undoPlacement(placement: Placement): void {
     const { task, run } = placement
     runs.remove(placement)
@@ -173,7 +173,7 @@
   }
 
   const refusalHandlers: Record<StartRefusal, (task: Task) => void> = {
-    fenced: () => authority.lost('a target has seen a newer owner'),
+    fenced: () => authority.lost('a target has seen a higher fencing token'),
     superseded: () => undefined,
     expired: () => undefined,
     full: () => opts.pause(FULL_PAUSE_MS),
@@ -204,7 +204,7 @@
         link.start({ ...order, leaseUntilMs: lease.extend() ?? leaseUntilMs }, timeoutMs),
       mayRetry: isCurrent,
     })
-    // A report may have told its end meanwhile.
+    // A report may have shown the end of the run meanwhile.
     if (runs.placements.get(name) === placement)
       await noteAnswer(task, placement, result, sentToken)
   }
@@ -242,7 +242,7 @@
       reason,
       lost: unansweredCalls,
     })
-    // A refusal for a lower token than ours is only the answer to our own newer one.
+    // If the token was raised since the start was sent, this owner itself fenced it.
     if (reason !== 'fenced' || sentToken === token()) refusalHandlers[reason](task)
     if (unansweredCalls > 0) return markUnsure(placement)
     runs.remove(placement)
@@ -250,7 +250,7 @@
     opts.changed()
   }
 
-  /** An order without an answer may have been carried out, be over, or come yet. */
+  /** Marks a run whose start went unanswered: it may run, be over, or arrive late. */
   function markUnsure(placement: Placement): Promise<void> {
     placement.state = 'unsure'
     return opts.fenceUnanswered()
@@ -285,7 +285,7 @@
     opts.changed()
   }
 
-  /** Asks again for as long as this owner may give orders. */
+  /** Retries the call while this owner may give orders. */
   async function callAsOwner(
     send: (timeoutMs: number) => OrderResult<boolean>,
   ): OrderResult<boolean> {
--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -1,44 +1,47 @@
 /**
- * Learns how long tasks really run: callers' guesses are far off. One average for each
- * queue, corrected against the guess where there is one.
+ * Estimates how long tasks run, from a moving average of the run times of each queue. Until a
+ * run of the queue has ended, the caller's estimate is used; such estimates are far off.
  */
 import type { Job, Step, Task } from '../jobs/index.js'
 
-/** Weight of one more run in the average: about the last forty runs count. */
+/** Weight of the newest run in the average, which covers about the last forty runs. */
 const NEWEST_RUN_WEIGHT = 0.05
-/** Run time assumed before anything is known, in ms: short, so that nothing is given up. */
+/** Run time assumed without runs or an estimate, in ms: short, so that no job is given up. */
 const DEFAULT_RUN_MS = 500
-/** Runs after which the average says more than the callers' guesses. */
+/** Number of runs from which the average is better than the callers' estimates. */
 const MIN_RUNS = 8
-/** Longest tasks of a step run so much longer than the mean one. */
+/** Ratio of the run time of the longest task of a step to the mean. */
 const LONGEST_TASK_FACTOR = 1.4
 
+/** Expected run times of tasks and jobs. */
 export interface RunTimes {
-  /** Notes a run that ended well. */
+  /** Adds a successful run. */
   note(task: Task, ranMs: number): void
-  /** Whether enough runs were seen to judge one by the average; guesses are far off. */
+  /** Whether the queue has had enough runs to judge a run by their average. */
   knows(step: Step): boolean
   /** Expected run time of one task of the step, in ms. */
   meanOf(step: Step): number
-  /** Expected time of the longest chain of the job, in ms. */
+  /** Expected time of the job's critical path, in ms. */
   chainOf(job: Job): number
-  /** The same for what is not done yet, less what runs already. */
+  /** Expected time left on the job's critical path at the monotonic time `now`, in ms. */
   remainingOf(job: Job, now: number): number
 }
 
+/** Creates estimates without any runs. */
+
 export function createRunTimes(): RunTimes {
-  /** Average of run time by queue, and of its ratio to the guess. */
+  /** Average run time by queue, in ms. */
   const meanByQueue = new Map<string, number>()
   const runCounts = new Map<string, number>()
 
   const meanOf = (step: Step): number =>
     meanByQueue.get(step.job.spec.queue) ?? (step.spec.estimateMs || DEFAULT_RUN_MS)
 
-  /** Expected time of a step from its beginning, in ms: that of its longest task. */
+  /** Expected time of a whole step, in ms: that of its longest task. */
   const stepTimeMs = (step: Step): number =>
     meanOf(step) * (step.tasks.length > 1 ? LONGEST_TASK_FACTOR : 1)
 
-  /** Longest path over the steps, given the time that each of them takes. */
+  /** Length of the critical path over the steps of the due occurrences, in ms. */
   function longestPathMs(job: Job, stepMs: (step: Step) => number): number {
     let result = 0
     for (const { due, steps } of job.occurrences) {
@@ -68,7 +71,7 @@
   }
 }
 
-/** Time for which all open tasks of a step have run, in ms; without open ones, for ever. */
+/** Time for which every open task of a step has been running, in ms; Infinity without any. */
 function runningMs(step: Step, now: number): number {
   let leastMs = Infinity
   for (const { phase, startedAt } of step.tasks) {
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -1,8 +1,10 @@
 /**
- * One task per target: long polls for ends, renews leases, gives orders one after
- * another, and keeps the view of what runs there. An order without an answer may still
- * be carried out; its run stays `unsure` until the target says otherwise under a newer
- * token, which makes it refuse the old order, or until its lease is over.
+ * The agent of one target: long polls it for ended runs, renews the leases of its runs,
+ * sends it orders one at a time and tracks what runs on it. A start order without an answer
+ * may still be carried out, so its run stays `unsure` until the target reports under a newer
+ * fencing token, which makes it refuse the old order, or until the lease of the run expires.
+ *
+ * An incarnation is one start of a target under its id; no run survives into the next one.
  */
 import type {
   OrderError,
@@ -45,7 +47,7 @@
 import { createTargetSilence } from './targetSilence.js'
 import type { TargetAgent, TargetHold } from './types.js'
 
-/** What the agent works with. */
+/** Dependencies and callbacks of the agent. */
 export interface TargetAgentOptions {
   target: Target
   link: TargetLink
@@ -54,26 +56,26 @@
   progress: ProgressWriter
   /** Starts in flight on all targets of the owner. */
   startWindow: StartWindow
-  /** Time that unknown runs of the predecessor may last, in ms. */
+  /** Longest time for which unknown runs of the previous owner can go on, in ms. */
   inheritedLeaseMs: number
-  /** Initial bump of the token, above those that earlier lives of the id have seen. */
+  /** Initial token offset, above those that earlier incarnations of the id have seen. */
   initialTokenOffset: number
   log: Logger
-  /** It did not accept the ticket of a step. */
+  /** Called when the target refused a ticket of the step. */
   ticketRefused(step: Step, targetId: string): void
-  /** Room, state or reports have changed. */
+  /** Called when the free room, the state or the reports of the target have changed. */
   changed(): void
-  /** A run has ended; for evidence about the target. */
+  /** Called when a run has ended, for the health record of the target. */
   ended(agent: TargetAgent, task: Task, kind: string): void
-  /** Another life answers under its id; evidence about the earlier one no longer applies. */
+  /** Called when another incarnation answers; the health record of the earlier one is void. */
   restarted(agent: TargetAgent): void
-  /** A crash of the target has been recorded. */
+  /** Called when a crash of the target is recorded. */
   crashed(): void
-  /** The life is over and every run on it is dead; another life may come under the id. */
+  /** Called when the incarnation and all its runs are over; another one may follow. */
   gone(agent: TargetAgent): void
 }
 
-/** Creates the agent; it calls the target from now on, until it is closed. */
+/** Creates the agent, which calls the target from now on until it is closed. */
 export function createTargetAgent(opts: TargetAgentOptions): TargetAgent {
   const { link, book, authority, progress, startWindow, log } = opts
   const { id: targetId } = opts.target
@@ -84,16 +86,19 @@
   const pacer = createPacer()
   const silence = createTargetSilence(targetId, log)
   let target = opts.target
-  /** Raised to make the target refuse orders that went unanswered. */
+  /** Added to the token of the term; raised to make the target refuse unanswered orders. */
   let tokenOffset = opts.initialTokenOffset
-  /** Start of the life that answers, in ms since 1970; undefined before the first report. */
+  /** Start of the incarnation that answers, in ms since 1970; undefined before a report. */
   let incarnationStartMs: number | undefined
-  /** Starts of earlier lives, whose late reports are ignored. */
+  /** Starts of earlier incarnations, whose late reports are ignored. */
   const earlierIncarnations = new Set<number>()
-  /** Pending while the crash of the earlier life is recorded; reports are ignored until then. */
+  /**
+   * Pending while the crash of the earlier incarnation is being recorded; reports are ignored
+   * until it resolves.
+   */
   let incarnationSwitch: Promise<void> | undefined
   let ackedSeq = 0
-  /** Steady time of the first report of this life, in ms; Infinity before. */
+  /** Monotonic time of the first report of this incarnation, in ms; Infinity before. */
   let firstReportAt = Infinity
   let isGone = false
   let pausedUntil = 0
@@ -166,9 +171,9 @@
   }
 
   /**
-   * Switches to another life under the same id. Runs of the earlier life are over, but orders
-   * sent to it may still reach the new one: a raised token makes the new life refuse them before
-   * its list of runs is relied on.
+   * Switches to another incarnation. Runs of the earlier one are over, but orders sent to it
+   * may still reach the new one. A raised token makes the new one refuse them, and only its
+   * reports under that token show that a run is missing.
    */
   function switchIncarnation(report: TargetReport): void {
     log.event('targetReborn', { target: targetId, runs: placements.size })
@@ -186,7 +191,7 @@
   async function finishIncarnationSwitch(crashed: CrashedRun[]): Promise<void> {
     await waitUntilConfirmed()
     if (signal.aborted) return
-    await crashRecorder.record({ reason: 'another life answers', crashed })
+    await crashRecorder.record({ reason: 'another incarnation answers', crashed })
     if (signal.aborted) return
     incarnationSwitch = undefined
     opts.restarted(agent)
@@ -201,8 +206,8 @@
   }
 
   /**
-   * Waits while this owner is out of touch with the store: a successor may have heard from the
-   * target and recorded its tasks as done.
+   * Waits until the ownership is confirmed by the store. Until then a successor may have taken
+   * over and recorded tasks of the target as done.
    */
   async function waitUntilConfirmed(): Promise<void> {
     while (!authority.isConfirmed() && !signal.aborted) {
@@ -210,7 +215,7 @@
     }
   }
 
-  /** Gives up everything on a target that is gone. */
+  /** Records the crash of a target that is gone, gives up its runs and ends the agent. */
   async function giveUpRuns(reason: string): Promise<void> {
     await waitUntilConfirmed()
     if (signal.aborted) return
@@ -232,28 +237,31 @@
     silence.begin(error.reason)
   }
 
-  /** Once the lease of everything on a silent target is over, nothing runs there. */
+  /** Gives up all runs once their lease has expired, as a silent target has stopped them. */
   function expireLease(): void {
     if (!lease.isExpired() || placements.size === 0) return
-    // A successor may have renewed the leases: only an owner for certain can tell.
+    // A successor may have renewed the lease, so the ownership must be confirmed.
     if (!authority.isConfirmed()) return
     crashRecorder.noteLeaseExpiry()
-    runs.giveUpAll('lease is over')
+    runs.giveUpAll('lease expired')
   }
 
-  /** A newer owner has been here, unless it was only our own newer token. */
+  /**
+   * Handles a refusal of the token. It shows a newer owner, unless this owner itself has raised
+   * the token since the call was sent.
+   */
   function noteFenced(sentToken: number): void {
-    if (sentToken === token()) authority.lost('a target has seen a newer owner')
+    if (sentToken === token()) authority.lost('a target has seen a higher fencing token')
   }
 
   async function syncOnce(waitMs: number): Promise<boolean> {
     let sentToken = token()
-    /** False after a failed call: the target may have restarted, and another life may answer. */
+    /** False after a failed call, as the target may have restarted since. */
     let isIncarnationKnown = silence.isAnswering() && !incarnationSwitch
     const send = (timeoutMs: number, pollMs: number): OrderResult<TargetReport> => {
       sentToken = token()
-      // A silent target may get a lease that we never hear of: it is not extended, so that
-      // it is over at a time that we know.
+      // A silent target may take a lease without our seeing its answer. Not extending it
+      // keeps the expiry known.
       const leaseUntilMs = isIncarnationKnown ? lease.extend() : undefined
       const order = {
         token: sentToken,
@@ -279,11 +287,11 @@
     return res.isOk()
   }
 
-  /** Time that the target may wait for an end before it answers, in ms. */
+  /** Time for which the target may hold the poll until a run ends, in ms. */
   function pollWaitMs(): number {
     if (runs.shared().some(({ fills }) => fills)) return PACED_WAIT_MS
     const isBusy = [...placements.values()].some(({ task }) => !task?.step.spec.lasting)
-    // Polls that end sooner would take processor time from the starts that wait for it.
+    // Shorter polls would take processor time from starts that are already late.
     return isBusy && !startWindow.isBehind() ? BUSY_WAIT_MS : SYNC_WAIT_MS
   }
 
@@ -296,7 +304,7 @@
         continue
       }
       if (runs.ackableEndSeq() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
-      // It lists ends that are not acknowledged at once, so that no poll would last.
+      // A target answers a poll at once while ended runs are unacknowledged, so pause here.
       if (runs.lastEndSeq() > runs.ackableEndSeq()) await sleep(ACK_WAIT_MS, signal)
       const isCaughtUp = hasReported() && runs.lastEndSeq() === ackedSeq
       const isAnswered = await syncOnce(isCaughtUp ? pollWaitMs() : 0)
@@ -304,26 +312,26 @@
     }
   }
 
-  /** Syncs with the target as soon as a run of the suspect may count as stable. */
+  /** Syncs with the target as soon as the run of a crash suspect may count as stable. */
   async function checkStable(task: Task): Promise<void> {
     await sleep(stableAfterMs(task) + STABLE_CHECK_MARGIN_MS, signal)
     if (!signal.aborted && !isGone && authority.mayOrder()) await syncOnce(0)
   }
 
-  /** Makes the target refuse all orders sent so far, then reads what became of them. */
+  /** Raises the token so that all orders sent so far are refused, then reads their outcome. */
   async function fenceUnanswered(): Promise<void> {
     tokenOffset++
     runs.fence(token())
     await syncOnce(0)
   }
 
-  /** Whether the list shows another life than the one that answers, whose room may differ. */
+  /** Whether the list shows another incarnation than answers; its capacity may differ. */
   const isOtherIncarnationListed = (): boolean =>
     incarnationStartMs !== undefined &&
     target.lifeStartMs !== 0 &&
     target.lifeStartMs !== incarnationStartMs
 
-  /** In the order in which they are asked: what lasts longest comes first. */
+  /** Rules in the order in which they are checked; those that last longest come first. */
   const HOLD_RULES: { hold: TargetHold; applies(): boolean }[] = [
     { hold: 'gone', applies: () => isGone },
     { hold: 'draining', applies: () => target.draining },
@@ -331,9 +339,9 @@
     { hold: 'unheard', applies: () => !hasReported() },
     { hold: 'silent', applies: () => !silence.isAnswering() },
     { hold: 'evacuating', applies: () => agent.evacuating },
-    // What runs there takes room that is not known before its jobs are read.
+    // The room that these runs take is unknown until their jobs have been read.
     { hold: 'unread', applies: () => book.mayMissJobs && runs.heldCount() > 0 },
-    // Their tasks may be unknown: they have no placement, and their room is not counted.
+    // Unwanted runs have no placement, so the room that they take is not counted.
     { hold: 'unwanted', applies: () => runs.unwantedCount() > 0 },
     { hold: 'paused', applies: () => monotonicMs() < pausedUntil },
     { hold: 'noAuthority', applies: () => !authority.mayOrder() },
@@ -360,7 +368,7 @@
       if (next.draining && !target.draining) {
         log.event('targetDraining', { target: targetId })
       }
-      // The link keeps the address that it was opened with.
+      // The link goes on calling the address that it was opened with.
       target = { ...next, address: target.address }
       room.resize(next.capacity)
     },
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one agent for each target of a service: opens it when the list of targets or the
- * predecessor's roster names the target, and closes it when all on the target is dead.
+ * Keeps one agent for each target of a service. Opens it when the list of targets or the
+ * roster of the previous owner names the target, and closes it once no run can be left there.
  */
 import type { TargetList } from '../directory/index.js'
 import type { JobBook } from '../jobs/index.js'
@@ -20,25 +20,29 @@
 import type { TargetAgent } from './types.js'
 import type { Tickets } from './tickets.js'
 
-/** Follows the targets of one service. */
+/** Opens and closes the agents of the targets of one service. */
 export interface TargetFollower {
-  /** Opens agents for the targets of the predecessor's roster, not listed until they are. */
+  /** Opens agents for the targets of the previous owner's roster, as not listed yet. */
   inherit(entries: InheritedEntry[]): void
-  /** Follows the list: opens agents for new targets, notes those that leave. */
+  /** Applies the list: opens agents for new targets and notes targets that have left. */
   follow(): void
-  /** Opens agents again for lives that the list shows for longer than it shows those that are over. */
+  /**
+   * Opens agents again for incarnations that were taken for gone but have stayed listed for
+   * longer than {@link MAX_LISTED_AFTER_END_MS}.
+   */
   reopen(): void
 }
 
 /**
- * Time for which the list shows a life that is over at most, in ms: three heartbeats, and some. One
- * that it shows for longer lives: its end was concluded from an entry that another writer had spoilt.
+ * Longest time for which the list shows an incarnation after its end, in ms: a little over three
+ * heartbeats. One listed for longer is alive: it was taken for gone because another writer had
+ * corrupted its entry.
  */
 const MAX_LISTED_AFTER_END_MS = 8000
 
-/** What the follower works with. */
+/** Dependencies and callbacks of the follower. */
 export interface TargetFollowerOptions {
-  /** Agents by id of their target; the follower adds and removes. */
+  /** Agents by id of their target; the follower adds and removes entries. */
   agents: Map<string, TargetAgent>
   targets: TargetList
   orders: TargetOrders
@@ -52,23 +56,23 @@
   isolation: Isolation
   startWindow: StartWindow
   log: Logger
-  /** Room, state or reports of a target have changed. */
+  /** Called when the free room, the state or the reports of a target have changed. */
   changed(): void
 }
 
-/** Creates the follower; it opens nothing yet. */
+/** Creates the follower, which opens no agents yet. */
 export function createTargetFollower(opts: TargetFollowerOptions): TargetFollower {
   const { agents, targets, authority, roster, health, log } = opts
   const { service } = authority
-  /** Lives that are over as far as is known, by id, while the list still shows the id. */
+  /** Incarnations taken for gone, by id, while the list still shows the id. */
   const goneIncarnations = new Map<string, GoneIncarnation>()
-  /** Bump of the token that the next life of an id starts with. */
+  /** Token offsets that the next agents start with, by id of the target. */
   const nextTokenOffsets = new Map<string, number>()
 
-  /** Targets of the predecessor's roster. */
+  /** Ids of the targets in the previous owner's roster. */
   const inheritedIds = new Set<string>()
 
-  /** Time that unknown runs of the predecessor may last, in ms. */
+  /** Longest time for which unknown runs of the previous owner can go on, in ms. */
   const inheritedLeaseMs =
     (authority.predecessorMayLive ? GRACE_MS : 0) +
     TASK_LEASE_MS * (1 + CLOCK_SKEW) +
@@ -87,13 +91,13 @@
     void agent.close()
   }
 
-  /** Whether it is called at an address that the list has corrected, and nothing is there. */
+  /** Whether the agent calls an address that the list has corrected since, and has no runs. */
   function hasStaleAddress(agent: TargetAgent, { address }: Target): boolean {
     const { target, placements } = agent
     return target.address !== address && !agent.isAnswering() && placements.size === 0
   }
 
-  /** Whether the list shows a later life under the id, at an address that it does not call. */
+  /** Whether the list shows a later incarnation, at an address that the agent does not call. */
   function isReplaced(agent: TargetAgent, { address, lifeStartMs }: Target): boolean {
     const { target } = agent
     const isLaterIncarnation =
@@ -101,19 +105,19 @@
     return isLaterIncarnation && target.address !== address && !agent.isAnswering()
   }
 
-  /** Closes an agent that has nothing to do; the life may well be alive elsewhere. */
+  /** Closes an agent without runs. The target may be alive, so it does not count as gone. */
   function closeIdleAgent(agent: TargetAgent): void {
     agents.delete(agent.target.id)
     health.forget(agent)
     void agent.close()
   }
 
-  /** Whether runs of the predecessor, or of a closed agent of ours, may be there. */
+  /** Whether runs of the previous owner, or of an agent closed since, may be on the target. */
   const mayHaveRuns = (id: string): boolean => inheritedIds.has(id) || roster.has(id)
 
   /**
-   * Opens the agent of a target of the roster. Without an address it stays silent, until the
-   * list tells one, no VM has the life any more, or all that may run there is over.
+   * Opens the agent of a target in the roster. Without an address the target counts as silent
+   * until the list shows its address, no VM has its id any more, or all leases have expired.
    */
   function openInherited({ id, address }: InheritedEntry): void {
     inheritedIds.add(id)
@@ -148,13 +152,13 @@
   function followListed(target: Target): void {
     const known = agents.get(target.id)
     if (known && isReplaced(known, target))
-      return known.markGone('another life is listed under its id')
+      return known.markGone('a later incarnation is listed')
     if (known && hasStaleAddress(known, target)) closeIdleAgent(known)
     const agent = agents.get(target.id)
     if (agent) {
       agent.update(target)
       agent.listed = true
-      // One whose inherited row could not be read has none that a successor could use.
+      // If its inherited row could not be read, the roster has none for the next owner.
       roster.add(target)
     } else if (
       !target.draining &&
@@ -174,7 +178,7 @@
     })
   }
 
-  /** Whether the list has an entry of the life, be it one that cannot be read. */
+  /** Whether the list has an entry under the id, readable or not. */
   const isInList = (id: string): boolean =>
     targets.byId().has(id) || targets.unreadableSince(id) !== undefined
 
@@ -190,7 +194,7 @@
     for (const agent of agents.values()) {
       const entry = listed.get(agent.target.id)
       if (agent.listed && entry?.service !== service) noteUnlisted(agent)
-      // Its own owner must not be fenced by our calls.
+      // Calls with this owner's token could fence the owner that the target now belongs to.
       const isOfOtherService = entry !== undefined && entry.service !== service
       if (isOfOtherService && agent.placements.size === 0) closeIdleAgent(agent)
     }
@@ -211,18 +215,18 @@
   }
 }
 
-/** A life that is over as far as is known. */
+/** An incarnation that was taken for gone. */
 interface GoneIncarnation {
   key: string
-  /** Steady time at which that was found out, in ms. */
+  /** Monotonic time at which it was taken for gone, in ms. */
   detectedAt: number
 }
 
-/** Distinguishes lives that have the same id. */
+/** Distinguishes incarnations under the same id. */
 const incarnationKey = ({ lifeStartMs, address }: Target): string =>
   `${lifeStartMs} ${address}`
 
-/** A target that only the roster names; nothing is known of its size. */
+/** Creates a target that only the roster names; its capacity is unknown, so it is 0. */
 function createUnlistedTarget(id: string, address: string, service: string): Target {
   const capacity = { cpu: 0, memMb: 0, gpu: 0 }
   return {
--- a/src/scheduler/targetLease.ts
+++ b/src/scheduler/targetLease.ts
@@ -1,6 +1,7 @@
 /**
- * Lease of everything that runs on one target. It is given on the target's clock, which
- * is estimated from its answers; when it is over for certain is counted on our own.
+ * Lease of all runs on one target. Its end is sent as a time of the target's clock, which is
+ * estimated from answers. Its expiry is tracked on the owner's monotonic clock, with a margin
+ * for a target's clock that runs slow.
  */
 import { monotonicMs } from '../shared/index.js'
 import {
@@ -13,24 +14,27 @@
 
 /** The lease of one target. */
 export interface TargetLease {
-  /** Takes note of the target's clock, as an answer tells it. */
+  /** Records the target's clock from an answer, in ms. */
   noteClock(clockMs: number): void
   /**
-   * Starts over with the clock of another life of the target. Orders with a lease end on the
-   * clock of the earlier life may have reached it, so the longest lease is assumed.
+   * Starts over with the clock of another incarnation, in ms. Orders whose lease ends on the
+   * clock of the earlier one may have reached it, so the longest lease is assumed.
    */
   reset(clockMs: number): void
-  /** End of a lease that begins now, on the target's clock; undefined before it is known. */
+  /**
+   * Extends the lease from now on and returns its end on the target's clock, in ms; undefined
+   * while that clock is unknown.
+   */
   extend(): number | undefined
-  /** Whether every lease that was given is over, also on a clock that is slow. */
+  /** Whether every lease granted so far has expired, even on a slow target's clock. */
   isExpired(): boolean
-  /** Steady time at which that is so, in ms. */
+  /** Monotonic time at which every lease granted so far has expired, in ms. */
   expiresAt(): number
 }
 
 /**
- * Creates the lease.
- * @param inheritedMs time that unknown runs of the predecessor may last
+ * Creates the lease of one target.
+ * @param inheritedMs longest time for which unknown runs of the previous owner can go on, in ms
  */
 export function createTargetLease(inheritedMs: number): TargetLease {
   let clock: { clockMs: number; at: number } | undefined
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -1,7 +1,7 @@
 /**
- * The view of what runs on one target: what was ordered there, corrected by what the
- * target reports. Ends go on to the job book, runs of the predecessor are adopted, and
- * runs that a report should list and does not are given up.
+ * Tracks the runs on one target: those that were ordered, corrected by the target's reports.
+ * Passes ended runs on to the job book, adopts runs of the previous owner, and gives up runs
+ * that a report should list but does not.
  */
 import { isCrashSuspect, noteDelay } from '../jobs/index.js'
 import type { JobBook, Task } from '../jobs/index.js'
@@ -17,15 +17,15 @@
 import type { Room } from './room.js'
 
 /**
- * Time after which a run that is still listed is ordered to stop again, in ms: longer than a
- * stop takes on a target that is well.
+ * Time after which the stop of a run that is still listed is sent again, in ms. A stop on a
+ * healthy target takes less.
  */
 const STOP_RETRY_MS = 1500
 
-/** Reason for giving up a run that a later life of its target does not list. */
-const EARLIER_INCARNATION_OVER = 'the life of the target that it was sent to is over'
+/** Reason for giving up a run that a later incarnation of its target does not list. */
+const EARLIER_INCARNATION_OVER = 'the target has restarted since the start was sent'
 
-/** What is known of a run on the target. */
+/** State of a run on the target, as far as the owner knows it. */
 export interface Placement {
   task: Task | undefined
   name: string
@@ -33,97 +33,106 @@
   state: 'starting' | 'running' | 'unsure' | 'stopping'
   /** Whether its start may have reached the target. */
   mayHaveBegun: boolean
-  /** Steady time of the start order, in ms. */
+  /** Monotonic time at which the start was sent, in ms; -Infinity before. */
   sentAt: number
-  /** Steady time of the last stop order, in ms. */
+  /** Monotonic time of the last stop order, in ms; -Infinity before. */
   stopOrderedAt: number
-  /** Target's clock when it confirmed the start, in ms. */
+  /**
+   * Target's clock when it confirmed the start, in ms; 0 before. Infinity for an adopted run
+   * until the next report lists it.
+   */
   confirmedClockMs: number
-  /** Under this token or a newer one, an absent run is over or was never started. */
+  /** A report under this token or a newer one lists the run unless it is over or never began. */
   fencedByToken: number
-  /** Its start was sent before the target restarted and may have reached the earlier life. */
+  /** Whether its start was sent before the target restarted. */
   isOfEarlierIncarnation: boolean
+  /** Progress in percent, as last reported. */
   percent: number
-  /** Steady time of the report that said so, in ms; 0 before the first. */
+  /** Monotonic time of the last report that lists the run, in ms; 0 before. */
   reportedAt: number
   load: number
   checkpoint: string
 }
 
-/** What runs on one target. */
+/** The runs on one target. */
 export interface TargetRuns {
   readonly placements: ReadonlyMap<string, Placement>
   readonly room: Room
-  /** Highest number of an end that has been passed on. */
+  /** Highest sequence number of an ended run that has been passed on. */
   lastEndSeq(): number
   /**
-   * Highest number of an end that a successor need not see again once all that was passed on is
-   * durable: those of jobs that are still to be read are in memory only.
+   * Highest sequence number that may be acknowledged once everything passed on is durable. Ended
+   * runs of jobs that are still to be read are kept in memory only, so a successor must get
+   * them again.
    */
   ackableEndSeq(): number
-  /** Runs last reported whose jobs are held; how much room they take is not known. */
+  /**
+   * Number of runs in the last report whose jobs are held, as a row of theirs cannot be read. The
+   * room that they take is unknown.
+   */
   heldCount(): number
-  /** Adopts those of them whose jobs have become known since. */
+  /** Adopts held runs whose jobs have become known since. */
   adoptKnown(): void
-  /** Unwanted runs last reported; they take room until they have stopped. */
+  /** Number of unwanted runs in the last report; they take room until they have stopped. */
   unwantedCount(): number
   add(task: Task, run: number, state: Placement['state']): Placement
   remove(placement: Placement): void
   /**
-   * Takes a report, which answers a call that carried the token.
-   * @param silentMs how long the target had not answered before it
+   * Applies a report of the target.
+   * @param reportToken token of the call that the report answers
+   * @param silentMs time for which the target had not answered before
    */
   apply(report: TargetReport, reportToken: number, silentMs: number): void
-  /** Notes that starts without an answer are refused under the token. */
+  /** Notes that the target refuses late starts of unsure runs once it has seen the token. */
   fence(token: number): void
   /**
-   * Resets what is known for another life of the target. Runs ordered before are unsure until
-   * that life reports under the token; those that it does not list then are given up.
+   * Resets the state for another incarnation of the target. Runs ordered before are unsure
+   * until it reports under the token; those that it does not list then are given up.
    */
   switchIncarnation(token: number): void
-  /** Gives up every run that is left, except those of the kept tasks. */
+  /** Gives up every run except those of the kept tasks. */
   giveUpAll(reason: string, kept?: ReadonlySet<Task>): void
-  /** Records the target's clock as given in an answer. */
+  /** Records the target's clock from an answer. */
   noteClock(clockMs: number): void
   /**
-   * Runs to which a crash of the target is attributed.
-   * @param disconnectedAt steady time of the first failed connection, in ms
+   * Returns the runs to which a crash of the target is attributed.
+   * @param disconnectedAt monotonic time of the first failed connection, in ms
    */
   crashedRuns(disconnectedAt: number): CrashedRun[]
-  /** Whether a crash suspect is placed there. */
+  /** Whether a crash suspect is placed on the target. */
   isIsolated(): boolean
-  /** Whether a run there is starting or not yet known to be stable. */
+  /** Whether a run is starting or not yet known to be stable. */
   hasRecentStart(): boolean
-  /** Runs that share the target, for the pacer. */
+  /** Running tasks that share the target, as input of the pacer. */
   shared(): SharedRun[]
 }
 
-/** What the view of one target works with. */
+/** Dependencies and callbacks of the runs of one target. */
 export interface TargetRunsOptions {
   target: Target
   book: JobBook
   authority: Authority
   log: Logger
-  /** The target has a run that is not wanted. */
+  /** Called for a run on the target that must be stopped. */
   unwanted(name: string, run: number): void
-  /** A run has ended. */
+  /** Called when a run has ended. */
   ended(task: Task, kind: string): void
 }
 
-/** Creates the view; it is empty until something is added or reported. */
+/** Creates the view of a target without runs. */
 export function createTargetRuns(opts: TargetRunsOptions): TargetRuns {
   const { book, authority, log } = opts
   const { id: targetId, capacity } = opts.target
   const placements = new Map<string, Placement>()
   const room = createRoom(capacity)
   let lastEndSeq = 0
-  /** Last known value of the target's clock, in ms. */
+  /** Last known time of the target's clock, in ms. */
   let clockMs = 0
-  /** Runs of the last report whose jobs are held, by name of the task. */
+  /** Runs in the last report whose jobs are held, by task name. */
   const heldRuns = new Map<string, ReportedRun>()
   /** Names of the tasks whose runs in the last report are unwanted. */
   const unwantedRuns = new Set<string>()
-  /** Ends that were passed on before their jobs were read. */
+  /** Ended runs that were passed on before their jobs were read. */
   let unreadEnds: { seq: number; task: string }[] = []
 
   function add(task: Task, run: number, state: Placement['state']): Placement {
@@ -139,7 +148,7 @@
     if (placement.task) room.give(placement.task.step)
   }
 
-  /** A run is over without an end being listed. */
+  /** Removes a run that is over although the target has not listed its end. */
   function giveUp(placement: Placement, reason: string): void {
     remove(placement)
     const { task, name, run } = placement
@@ -169,10 +178,10 @@
     }
   }
 
-  /** A run that we did not order: of our predecessor, or an order done late. */
+  /** Adopts or stops a run without a placement: of the previous owner, or started late. */
   function adopt(reported: ReportedRun): void {
     const { task: name, run } = reported
-    // Whether it is wanted is known once its job can be read; it goes on till then.
+    // Whether it is wanted is unknown until its job can be read; it goes on until then.
     if (book.isHeld(name)) return void heldRuns.set(name, reported)
     const task = book.task(name)
     const wanted = task && (task.phase === 'ready' || task.phase === 'blocked')
@@ -189,7 +198,7 @@
     opts.unwanted(name, run)
   }
 
-  /** An adopted run counts as confirmed at the time of the next report that shows it. */
+  /** Counts adopted runs as confirmed at the time of the next report that lists them. */
   function confirmAdopted(report: TargetReport): void {
     for (const run of report.runs) {
       const placement = placements.get(run.task)
@@ -198,7 +207,7 @@
     }
   }
 
-  /** A stop that went unanswered is ordered again: else its run holds its room for ever. */
+  /** Sends a stop again that may have been lost; otherwise its run keeps its room forever. */
   function retryStop(placement: Placement): void {
     if (placement.state !== 'stopping') return
     if (monotonicMs() - placement.stopOrderedAt < STOP_RETRY_MS) return
@@ -231,9 +240,9 @@
     }
   }
 
-  /** Gives up runs that are not listed, where that shows that they are over. */
+  /** Gives up runs that the report would list if they were not over. */
   function applyAbsent(report: TargetReport, reportToken: number): void {
-    // Ends that did not fit into the report may be those of the runs that are missing.
+    // The report is full: the ends of missing runs may not have fitted into it.
     if (report.ends.length >= MAX_LISTED_ENDS) return
     const reported = new Set(report.runs.map(({ task }) => task))
     for (const placement of [...placements.values()]) {
@@ -246,7 +255,7 @@
           placement.isOfEarlierIncarnation ? EARLIER_INCARNATION_OVER : 'never started',
         )
       else if (confirmed && report.clockMs > placement.confirmedClockMs) {
-        if (authority.isConfirmed()) giveUp(placement, 'not listed any more')
+        if (authority.isConfirmed()) giveUp(placement, 'no longer listed')
       }
     }
   }
@@ -290,7 +299,7 @@
       unreadEnds = []
       heldRuns.clear()
       for (const placement of placements.values()) {
-        // Its start has not been sent yet and will go to the new life.
+        // Its start has not been sent yet and will go to the new incarnation.
         if (!placement.mayHaveBegun) continue
         if (placement.state !== 'stopping') placement.state = 'unsure'
         placement.isOfEarlierIncarnation = true
--- a/src/scheduler/targetSilence.ts
+++ b/src/scheduler/targetSilence.ts
@@ -1,23 +1,26 @@
-/** Whether a target answers, and for how long it has not. */
+/** Tracks whether a target answers, and for how long it has not answered. */
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 
-/** The silence of one target. */
+/** Answering state of one target. */
 export interface TargetSilence {
   isAnswering(): boolean
-  /** Calls of which the first was sent at this steady time, in ms, went unanswered. */
+  /**
+   * Notes unanswered calls.
+   * @param sentAt monotonic time of the first of them, in ms
+   */
   noteMissed(sentAt: number): void
-  /** It counts as silent from now on. */
+  /** Marks the target as silent. */
   begin(reason: string): void
   /**
-   * It has answered.
-   * @param ends ends of runs that came with the answer
-   * @returns how long it had not answered, in ms
+   * Marks the target as answering.
+   * @param ends number of ended runs in the answer
+   * @returns time for which it had not answered, in ms
    */
   end(ends: number): number
 }
 
-/** A target that answers until the contrary is seen. */
+/** Creates the state of a target, which counts as answering until it is marked as silent. */
 export function createTargetSilence(targetId: string, log: Logger): TargetSilence {
   let isAnswering = true
   let missedSince: number | undefined
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -1,6 +1,7 @@
 /**
- * Permissions of the advice service, for queues whose policy lets a step run only on some
- * targets. One call per step at a time; tickets are reused while they hold.
+ * Fetches and caches tickets, the permissions of the advice service to start a step on a target.
+ * Queues with a policy need them. Each step has at most one request in flight; its tickets are
+ * reused while they are valid.
  */
 import type { Step } from '../jobs/index.js'
 import type { Advice } from '../ports/index.js'
@@ -8,32 +9,38 @@
 import type { Logger } from '../shared/index.js'
 import type { TargetAgent } from './types.js'
 
-/** Targets named in one call: the platform counts a call on 30 as usual. */
+/** Largest number of targets in one request; the platform regards 30 as usual. */
 const MAX_CANDIDATES = 30
-/** A ticket is not used when it holds for less than this, in ms: about an order's way. */
+/** Least remaining validity of a ticket in use, in ms: about the time that an order takes. */
 const MIN_VALID_MS = 150
-/** Pause after a call that failed, in ms. */
+/** Pause after a failed request, in ms. */
 const RETRY_MS = 300
 
+/** Tickets of all steps. */
 export interface Tickets {
-  /** Ticket for a start; undefined when the target may not be used, or not yet. */
+  /** Ticket for a start; undefined while there is none, or if the target is not permitted. */
   find(step: Step, agent: TargetAgent): string | undefined
-  /** Asks for a step that waits, if nothing is known that holds. */
+  /** Requests tickets for a waiting step, unless the last answer is still valid. */
   want(step: Step, agents: TargetAgent[]): void
-  /** A target did not accept the ticket. */
+  /** Discards a ticket that the target refused. */
   discard(step: Step, targetId: string): void
 }
 
+/** Last answer of the advice service for a step. */
 interface StepAdvice {
+  /** Tickets by target id. */
   tickets: Map<string, string>
+  /** Monotonic time until which the answer is valid, in ms; after a failure, that of the retry. */
   validUntil: number
   isAsking: boolean
 }
 
+/** Creates an empty cache. */
+
 export function createTickets(opts: {
   advice: Advice | undefined
   log: Logger
-  /** New tickets have come. */
+  /** Called when new tickets have arrived. */
   changed(): void
 }): Tickets {
   const { advice, log } = opts
--- a/src/scheduler/types.ts
+++ b/src/scheduler/types.ts
@@ -1,10 +1,10 @@
-/** What the owner of a service sees of its targets, and does with them. */
+/** The interface of target agents, through which the owner of a service uses its targets. */
 import type { Task } from '../jobs/index.js'
 import type { Target } from '../ports/index.js'
 import type { Room } from './room.js'
 import type { Placement } from './targetRuns.js'
 
-/** Why a target gets nothing new, whatever a task asks for. */
+/** Reason why a target gets no new tasks at all. */
 export type TargetHold =
   | 'gone'
   | 'unheard'
@@ -17,52 +17,60 @@
   | 'unwanted'
   | 'noAuthority'
 
-/** What an owner does with one target. */
+/** An owner's agent for one target. */
 export interface TargetAgent {
   readonly target: Target
-  /** What runs on it, by name of the task, as far as is known. */
+  /** Runs on the target as far as known, by task name. */
   readonly placements: ReadonlyMap<string, Placement>
   readonly room: Room
-  /** What keeps everything new from it; undefined when it takes orders now. */
+  /** Reason why the target gets no new tasks now; undefined if it takes them. */
   hold(): TargetHold | undefined
-  /** Whether nothing keeps everything new from it. */
+  /** Whether the target takes new tasks now. */
   isUsable(): boolean
-  /** How often the token was raised within this term, earlier lives of the id included. */
+  /**
+   * Number of times that the fencing token was raised within this term, for earlier incarnations
+   * of the id too.
+   */
   tokenOffset(): number
-  /** Steady time up to which it is paused, in ms. */
+  /** Monotonic time until which the target gets no new tasks after a refusal, in ms. */
   pausedUntil(): number
-  /** Whether it has been heard by this owner, or everything on it is surely dead. */
+  /**
+   * Whether the runs on the target are known: it has reported to this owner, is gone, or its
+   * lease has expired.
+   */
   isSettled(): boolean
-  /** Steady time at which this life was first heard by this owner, in ms; Infinity before. */
+  /** Monotonic time of the first report of this incarnation, in ms; Infinity before. */
   firstReportAt(): number
-  /** Steady time by which it is settled at the latest, in ms, unless its lease is extended. */
+  /** Monotonic time at which the lease expires unless it is extended, in ms. */
   settledBy(): number
-  /** Whether it last answered. */
+  /** Whether the target has reported and is neither silent nor gone. */
   isAnswering(): boolean
-  /** Whether a call has failed since the last answer, or since the first call if there was none. */
+  /** Whether a call has failed since the last answer, or since the first call without any. */
   isSilent(): boolean
-  /** No new starts while true: it is being emptied on purpose. */
+  /** Whether the target is being evacuated and gets no new tasks. */
   evacuating: boolean
-  /** Whether the list of targets shows it; no new starts while it does not. */
+  /** Whether the list of targets shows the target; if not, it gets no new tasks. */
   listed: boolean
-  /** Takes what the list says of it now. */
+  /** Applies the target's current entry in the list. */
   update(target: Target): void
-  /** Places the task there and orders its start. */
+  /** Places the task on the target and orders its start. */
   start(task: Task, run: number, ticket: string): void
+  /** Orders the run of the task to stop, unless that was done before. */
   stop(name: string): void
-  /** Whether a crash suspect is placed there. */
+  /** Whether a crash suspect is placed on the target. */
   isIsolated(): boolean
-  /** Whether a run there is starting or not yet known to be stable. */
+  /** Whether a run is starting or not yet known to be stable. */
   hasRecentStart(): boolean
-  /** Starts that it takes now without letting them wait for long behind one another. */
+  /** Number of starts that can be queued now without a long wait. */
   startsLeft(): number
-  /** Runs last reported whose jobs are held, so that they have no placement. */
+  /** Number of runs in the last report whose jobs are held; they have no placement. */
   heldRuns(): number
-  /** Adopts those of them whose jobs have become known since. */
+  /** Adopts held runs whose jobs have become known since. */
   adoptKnown(): void
-  /** Orders how much of its usual speed a task that fills in may have, in percent. */
+  /** Orders the speed of a task that uses spare processor time, in percent of its usual speed. */
   pace(name: string, percent: number): void
-  /** Every run on it is known to be dead. */
+  /** Marks the target as gone: all its runs are over. */
   markGone(reason: string): void
+  /** Stops calling the target; resolves once all calls have ended. */
   close(): Promise<void>
 }
