--- a/src/scheduler/__tests__/arrivals.spec.ts
+++ b/src/scheduler/__tests__/arrivals.spec.ts
@@ -6,7 +6,7 @@
 const WORK = 8000
 const SEEDS = 40
 
-/** Times of random arrivals at a rate, in ms. */
+/** Generates the arrival times of a Poisson process, in ms. */
 function arrivalsAt(perSecond: number, fromMs: number, untilMs: number, seed: number) {
   const generator = mersenne(seed)
   const times: number[] = []
@@ -24,7 +24,7 @@
   return meter
 }
 
-/** Expected room as a share of what the rate takes: mean over seeds. */
+/** Ratio of the expected processor capacity to what the rate takes, as a mean over seeds. */
 function meanShare(perSecond: number, make: (seed: number) => number): number {
   let sum = 0
   for (let seed = 1; seed <= SEEDS; seed++) sum += make(seed)
@@ -34,7 +34,7 @@
 describe('createArrivalMeter', () => {
   describe('at a steady rate', () => {
     for (const perSecond of [4, 20, 60]) {
-      it(`is right on average at ${perSecond} a second`, (t) => {
+      it(`is close on average to ${perSecond} jobs a second`, (t) => {
         const share = meanShare(perSecond, (seed) =>
           meterAfter(arrivalsAt(perSecond, 0, 6000, seed)).expectedCpu(6000),
         )
@@ -43,7 +43,7 @@
     }
   })
 
-  describe('at a jump to eighty times the rate', () => {
+  describe('after a jump to eighty times the rate', () => {
     const afterJump = (perSecond: number, ms: number) =>
       meanShare(perSecond, (seed) => {
         const before = arrivalsAt(perSecond / 80, 0, 10_000, seed)
@@ -51,14 +51,14 @@
         return meterAfter([...before, ...jump]).expectedCpu(10_000 + ms)
       })
 
-    // Shares of the rate over the same seeds, with an average over 1 to 3 s and its trend
-    // and with the meter: fast, 0.3 s: 0.22, 0.69; slow, 1 s: 0.60, 0.64.
-    it('has most of a fast rate after 0.3 s', (t) => {
+    // With the same arrivals, an average over 1 to 3 s with its trend reaches 0.22 of the fast
+    // rate and 0.60 of the slow one; the meter reaches 0.69 and 0.64.
+    it('reaches most of a fast rate after 0.3 s', (t) => {
       const share = afterJump(20, 300)
       t.true(share > 0.65, share.toFixed(2))
     })
 
-    it('has most of a slow rate after 1 s', (t) => {
+    it('reaches most of a slow rate after 1 s', (t) => {
       const share = afterJump(4, 1000)
       t.true(share > 0.6, share.toFixed(2))
     })
@@ -75,7 +75,7 @@
     t.true(meter.expectedCpu(last + 1500) <= (4 * WORK) / 1000 / 3 + 1)
   })
 
-  it('says nothing after a single job', (t) => {
+  it('expects nothing after a single job', (t) => {
     t.is(meterAfter([1000]).expectedCpu(1001), 0)
   })
 })
--- a/src/scheduler/__tests__/ask.spec.ts
+++ b/src/scheduler/__tests__/ask.spec.ts
@@ -10,7 +10,7 @@
   return err({ failure, reason: failure, cause: new PlatformError(failure, { props }) })
 }
 
-/** A target that answers in 1 ms; its last answers are the ones given. */
+/** Creates a target that usually answers in 1 ms and gives these results to the next calls. */
 function createFakeTarget(results: unknown[]) {
   const roundTrip = createRoundTrip({ leastMs: MIN_ANSWER_MS, mostMs: ANSWER_TIMEOUT_MS })
   roundTrip.note(1)
@@ -24,8 +24,8 @@
   return { roundTrip, timeouts, send }
 }
 
-describe('ask', () => {
-  it('calls again where an answer is missing, each time with more patience', async (t) => {
+describe('callWithRetries', () => {
+  it('retries unanswered calls with increasing time-outs', async (t) => {
     const { roundTrip, timeouts, send } = createFakeTarget([
       failedResult('unanswered'),
       failedResult('unanswered'),
@@ -37,7 +37,7 @@
     t.deepEqual(timeouts.slice(0, 2), [MIN_ANSWER_MS, MIN_ANSWER_MS * 2])
   })
 
-  it('takes a target for silent no later than with one call', async (t) => {
+  it('gives up no later than a single call would', async (t) => {
     const { roundTrip, timeouts, send } = createFakeTarget(
       Array(9).fill(failedResult('unanswered')),
     )
@@ -47,7 +47,7 @@
   })
 
   for (const failure of ['gone', 'fenced', 'notDone'] as const) {
-    it(`asks once where the answer is that it is ${failure}`, async (t) => {
+    it(`does not retry a call that fails as ${failure}`, async (t) => {
       const { roundTrip, timeouts, send } = createFakeTarget([failedResult(failure)])
       const { unansweredCalls } = await callWithRetries({ roundTrip, send })
       t.is(timeouts.length, 1)
@@ -55,7 +55,7 @@
     })
   }
 
-  it('asks no more once the answer is not wanted', async (t) => {
+  it('does not retry once the answer is not wanted', async (t) => {
     const { roundTrip, timeouts, send } = createFakeTarget([failedResult('unanswered')])
     await callWithRetries({ roundTrip, send, mayRetry: () => false })
     t.is(timeouts.length, 1)
--- a/src/scheduler/__tests__/cancelledRuns.spec.ts
+++ b/src/scheduler/__tests__/cancelledRuns.spec.ts
@@ -1,21 +1,21 @@
-/** What runs of a job after its caller cancelled it, however its run came to be. */
+/** Runs of cancelled jobs are stopped, even if they start late or their owner has changed. */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
-/** Longer than any task of these tests may run on. */
+/** Run time of a task, in ms; longer than any run may last after its job is cancelled. */
 const LONG_MS = 20_000
-/** Time by which an order is carried out late, in ms. */
+/** Delay with which the target carries out an order, in ms. */
 const LATE_MS = 900
-/** Time within which a run must be stopped, in ms: the platform allows 3 s and more. */
+/** Time within which a run must be stopped, in ms; the platform allows 3 s or more. */
 const STOP_LIMIT_MS = 2500
 
-/** Runs that have begun and not ended. */
+/** Number of runs that have begun and not ended. */
 const countRunning = ({ ledger }: JobRig): number =>
   ledger.entries.reduce((sum, { what }) => sum + (what === 'start' ? 1 : -1), 0)
 
-/** Whether nothing runs, now and after as long as an order may come late. */
+/** Waits until no late order can arrive, then returns whether all runs stop in time. */
 async function allRunsStop(rig: JobRig): Promise<boolean> {
   await sleep(LATE_MS + 300)
   const endsAt = performance.now() + STOP_LIMIT_MS
@@ -38,7 +38,7 @@
     await rig.stop()
   })
 
-  it('is stopped when its starter is gone', async (t) => {
+  it('is stopped when the owner that started it is gone', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const first = await rig.own()
@@ -53,7 +53,7 @@
     await rig.stop()
   })
 
-  it('is stopped when it starts late and its starter is gone', async (t) => {
+  it('is stopped when it starts late and the owner that ordered it is gone', async (t) => {
     const rig = createJobRig()
     const target = rig.addTarget('t1')
     const first = await rig.own()
--- a/src/scheduler/__tests__/crashingTasks.spec.ts
+++ b/src/scheduler/__tests__/crashingTasks.spec.ts
@@ -5,22 +5,22 @@
 import { sleep } from '../../shared/index.js'
 
 const POOL_SIZE = 6
-/** Time after which a crashed target comes back under a new id, in ms. */
+/** Time after which a target under a new id replaces a crashed one, in ms. */
 const RESTART_MS = 400
 /** Time limit for jobs to settle, in ms. */
 const SETTLE_TIMEOUT_MS = 8000
-/** Most starts of a task that crashes each target: two more are allowed after three crashes. */
+/** Limit on the starts of a task that crashes each target: two are allowed after three crashes. */
 const MAX_STARTS = 5
 
 interface CrashRig extends JobRig {
   /** Lowest number of targets that were up at the same time. */
   minTargets(): number
   startsOf(task: string): number
-  /** Crashes during runs of a task; 0 while a crashed target is not back. */
+  /** Number of runs of a task that crashes have ended; 0 while a crashed target is down. */
   crashesOf(task: string): number
 }
 
-/** Creates a rig whose targets come back under another id after a crash. */
+/** Creates a rig in which a target under a new id replaces each crashed one. */
 function createCrashRig(
   t: ExecutionContext,
   { poolSize = POOL_SIZE, restartMs = RESTART_MS } = {},
@@ -62,7 +62,7 @@
 }
 
 describe('task that crashes each target that starts it', () => {
-  it('is given up before it is started three times more', async (t) => {
+  it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
     const owner = await rig.own()
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
@@ -101,7 +101,7 @@
     t.true(rig.minTargets() >= POOL_SIZE / 2)
   })
 
-  it('is given up although its service changes its owner after each crash', async (t) => {
+  it('fails after five starts at most although the owner changes after each crash', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     let owner = await rig.own()
@@ -120,7 +120,7 @@
 })
 
 describe('task that crashes its target right after its owner has died', () => {
-  it('is given up before it is started three times more', async (t) => {
+  it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     let owner = await rig.own()
@@ -142,7 +142,7 @@
       makeJob({ ms: 600, cpu: 800, crashMs: 5 }, [{ count: 2 }]),
     )
 
-  it('are given up within seconds, side by side', async (t) => {
+  it('all fail within 25 s', async (t) => {
     const rig = createCrashRig(t, POOL)
     const owner = await rig.own()
     const crashing = makeCrashing(12)
@@ -168,7 +168,7 @@
 })
 
 describe('task whose targets are cut off', () => {
-  it('is not given up, however often its lease ends', async (t) => {
+  it('does not fail, however often its lease expires', async (t) => {
     const rig = createJobRig()
     t.teardown(() => rig.stop())
     for (let each = 1; each <= 4; each++) rig.addTarget(`t${each}`)
--- a/src/scheduler/__tests__/lifeCheck.spec.ts
+++ b/src/scheduler/__tests__/lifeCheck.spec.ts
@@ -5,10 +5,10 @@
 import { createLifeCheck } from '../lifeCheck.js'
 import type { TargetAgent } from '../types.js'
 
-/** Pause between two looks, in ms; longer than the shortest one between two readings of the list. */
+/** Time between two checks, in ms; longer than the shortest time between two reads of the list. */
 const CHECK_INTERVAL_MS = 260
 
-/** A silent target with a run on it, first heard so long ago. */
+/** Creates a silent target with a run, whose first report came `heardForMs` ago. */
 function createSilentAgent(id: string, heardForMs: number) {
   const firstReportAt = monotonicMs() - heardForMs
   const agent = {
@@ -41,29 +41,29 @@
   return agent.isGone
 }
 
-describe('life of a silent target', () => {
-  describe('that the list of VMs does not show', () => {
-    it('is not over at the first reading, which may lack a row', async (t) => {
+describe('silent target', () => {
+  describe('whose VM is not listed', () => {
+    it('is not gone after the first read, which may lack a row', async (t) => {
       t.false(await runChecks(createCheck(['other']), createSilentAgent('t1', 5000), 1))
     })
 
-    it('is over at the second reading when it began long before', async (t) => {
+    it('is gone after the second read if it first reported long before', async (t) => {
       t.true(await runChecks(createCheck(['other']), createSilentAgent('t1', 5000), 2))
     })
 
-    it('is not over at the second reading when the list may lag behind it', async (t) => {
+    it('is not gone after the second read if the list may not show it yet', async (t) => {
       t.false(await runChecks(createCheck(['other']), createSilentAgent('t1', 200), 2))
     })
 
-    it('is over after several readings even if it was never heard', async (t) => {
+    it('is gone after several reads even if it never reported', async (t) => {
       t.true(
         await runChecks(createCheck(['other']), createSilentAgent('t1', -Infinity), 5),
       )
     })
   })
 
-  describe('that the list shows', () => {
-    it('is not over', async (t) => {
+  describe('whose VM is listed', () => {
+    it('is not gone', async (t) => {
       t.false(await runChecks(createCheck(['t1']), createSilentAgent('t1', 5000), 4))
     })
   })
--- a/src/scheduler/__tests__/lostStops.spec.ts
+++ b/src/scheduler/__tests__/lostStops.spec.ts
@@ -1,10 +1,13 @@
-/** Orders to stop that a target does not answer: nothing of the run may be left in the end. */
+/** A stop order without an answer must not leave its run behind, or the room that it takes. */
 import type { ExecutionContext } from 'ava'
 import { describe, it } from '../../../test/describe.js'
 import { CAPACITY, createJobRig, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
-/** A job that hangs on the only target, or whose start goes unanswered. */
+/**
+ * Cancels a job whose task hangs on the only target, or whose start went unanswered, while the
+ * target is silent. Returns whether the target has no runs and all its room in the end.
+ */
 async function cancelHangingJob(t: ExecutionContext, startIsLost: boolean) {
   const rig = createJobRig()
   t.teardown(() => rig.stop())
@@ -29,12 +32,12 @@
 }
 
 describe('stop that goes unanswered', () => {
-  // The run of a cancelled job held its room until its own end, which a lasting one has not.
-  it('is ordered again while the run is listed', async (t) => {
+  // Otherwise the run of a cancelled job takes room until it ends; a lasting run never does.
+  it('is sent again while the run is listed', async (t) => {
     t.true(await cancelHangingJob(t, false))
   })
 
-  it('leaves no room taken for a start that went unanswered too', async (t) => {
+  it('frees the room of a run whose start went unanswered too', async (t) => {
     t.true(await cancelHangingJob(t, true))
   })
 })
--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -26,7 +26,7 @@
   props: { step: 'orders.start', peer: 't1', failure: 'unknown' },
 })
 
-/** The sender of one target that answers slowly, and the orders that have reached it. */
+/** Creates the sender of a target that answers slowly, and records the orders that reach it. */
 function startSender(answers: () => unknown = () => ok({ accepted: true, clockMs: 2 })) {
   const sent: string[] = []
   let fences = 0
@@ -117,8 +117,8 @@
 }
 
 describe('createOrderSender', () => {
-  // Tasks of a cancelled job worked on while the starts of others were ordered one by one.
-  it('stops before it starts what waits', async (t) => {
+  // Otherwise tasks of a cancelled job go on while the starts of others are sent one by one.
+  it('sends stops before queued starts', async (t) => {
     const { sent, sender, start, stop, tasks } = startSender()
     const [first, ...others] = tasks(4)
     start(first!)
@@ -129,7 +129,7 @@
     t.deepEqual(sent, ['start 0', 'stop 0', 'start 1', 'start 2', 'start 3'])
   })
 
-  it('sends no stop before the start that it is for has been answered', async (t) => {
+  it('sends a stop only after the start of its run has been answered', async (t) => {
     const { sent, sender, start, stop, tasks } = startSender()
     const [first] = tasks(1)
     start(first!)
@@ -140,7 +140,7 @@
     t.deepEqual(sent, ['start 0', 'stop 0'])
   })
 
-  it('leaves out the start of what is stopped before its turn', async (t) => {
+  it('cancels a queued start when its run is stopped', async (t) => {
     const { sent, sender, book, runs, start, stop, tasks } = startSender()
     const [first, second] = tasks(2)
     start(first!)
@@ -153,7 +153,7 @@
     t.true(book.ready.has(second!))
   })
 
-  it('leaves out the starts of a job that is cancelled', async (t) => {
+  it('cancels the queued starts of a cancelled job', async (t) => {
     const { sent, sender, book, runs, start, tasks } = startSender()
     const some = tasks(3)
     for (const task of some) start(task)
@@ -164,9 +164,9 @@
     t.is(runs.placements.size, 1)
   })
 
-  describe('a start that is refused after a call without an answer', () => {
+  describe('a start that is refused after an unanswered call', () => {
     for (const reason of ['superseded', 'full', 'expired', 'ticket', 'other']) {
-      it(`gives its task to no other target before it is fenced: ${reason}`, async (t) => {
+      it(`keeps its task from other targets until it is fenced: ${reason}`, async (t) => {
         const results = [
           err({ failure: 'unanswered', reason: 'no answer', cause: NO_ANSWER }),
           ok({ accepted: false, clockMs: 2, reason }),
@@ -184,7 +184,7 @@
       })
     }
 
-    it('is given back at once where the first call was refused', async (t) => {
+    it('makes its task ready at once if the first call was refused', async (t) => {
       const refused = ok({ accepted: false, clockMs: 2, reason: 'full' })
       const { sender, book, start, tasks, fences } = startSender(() => refused)
       const [first] = tasks(1)
@@ -195,8 +195,8 @@
     })
   })
 
-  // Each of four starts for a silent target waited for the limits of those before it.
-  it('gives back what waits for a target that does not answer', async (t) => {
+  // Otherwise each of several starts for a silent target waits for the time-outs before it.
+  it('makes the tasks of queued starts ready when the target does not answer', async (t) => {
     const failure = { failure: 'unanswered', reason: 'no answer', cause: NO_ANSWER }
     const { sent, sender, book, runs, start, tasks } = startSender(() => err(failure))
     const some = tasks(8)
--- a/src/scheduler/__tests__/rebornTargets.spec.ts
+++ b/src/scheduler/__tests__/rebornTargets.spec.ts
@@ -4,7 +4,7 @@
 import type { JobRig } from '../../../test/jobRig.js'
 import { monotonicMs, sleep } from '../../shared/index.js'
 
-/** Time between the end of a life and the start of the next one, in ms. */
+/** Time between the crash of a target and its restart, in ms. */
 const DOWNTIME_MS = 300
 /** Initial clock of a target that simulates a long uptime, in ms. */
 const LONG_UPTIME_MS = 480_000
@@ -23,7 +23,7 @@
   return { rig, owner }
 }
 
-/** Crashes a target and starts another life under its id. */
+/** Crashes a target and starts it again under the same id. */
 async function restartTarget(rig: JobRig, id: string): Promise<void> {
   rig.targets.get(id)!.crash()
   await sleep(DOWNTIME_MS)
@@ -34,8 +34,8 @@
   rig.ledger.entries.filter(({ what, task }) => what === 'start' && task.startsWith(id))
     .length
 
-describe('target that begins another life under its id', () => {
-  it('has the ends of its new life processed, so that no task runs twice', async (t) => {
+describe('target that restarts under its id', () => {
+  it('has the ends of its new runs processed, so that no task runs twice', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
     await restartTarget(rig, 't1')
     const job = makeJob({ ms: 50 }, [{ count: 4 }])
@@ -45,7 +45,7 @@
     t.is(findBrokenPromise(rig.ledger), undefined)
   })
 
-  it('gets the lasting tasks of its earlier life again', async (t) => {
+  it('gets its lasting tasks again', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
     const job = makeJob({ ms: 0 }, [{ count: 2, lasting: true }])
     rig.submit(owner, job)
@@ -57,7 +57,7 @@
     t.is(countStarts(rig, job.id), 4)
   })
 
-  it('gets work when the life before was known to be over', async (t) => {
+  it('gets tasks if its earlier incarnation was known to be gone', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
     rig.targets.delete('t1')
     while (owner.agents().length > 0) await sleep(5)
@@ -67,7 +67,7 @@
     t.true(await rig.settled([job], RECOVERY_LIMIT_MS))
   })
 
-  it('gets no work before the list shows its new life', async (t) => {
+  it('gets no tasks before its new incarnation is listed', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1'])
     const oldEntry = rig.listed.get('t1')!
     await restartTarget(rig, 't1')
@@ -81,7 +81,7 @@
     t.true(await rig.settled([job], RECOVERY_LIMIT_MS))
   })
 
-  it('keeps its runs when an order for its VM ended its earlier life', async (t) => {
+  it('keeps its runs when a VM order is reported to have ended its earlier incarnation', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1', 't2'])
     await restartTarget(rig, 't1')
     rig.targets.get('t2')!.faults.silent = true
@@ -94,7 +94,7 @@
     t.is(findBrokenPromise(rig.ledger), undefined)
   })
 
-  it('runs a task that a late order for its earlier life starts, and no other target does', async (t) => {
+  it('runs a task that a late order for its earlier incarnation starts, and no other target does', async (t) => {
     const { rig, owner } = await startWithLongUptime(t, ['t1', 't2'])
     const lateMs = 2 * DOWNTIME_MS
     const faults = rig.targets.get('t1')!.faults
@@ -110,9 +110,9 @@
   })
 })
 
-describe('target that is taken for gone while it lives', () => {
-  // Another writer's entry led calls to a wrong address, where another life answered.
-  it('is used again when the list goes on showing it', async (t) => {
+describe('target that is taken for gone while it is alive', () => {
+  // Another writer's entry can lead calls to a wrong address, where another target answers.
+  it('is used again if it stays listed', async (t) => {
     const rig = createJobRig()
     t.teardown(() => rig.stop())
     const target = rig.addTarget('t1')
--- a/src/scheduler/__tests__/slowLinks.spec.ts
+++ b/src/scheduler/__tests__/slowLinks.spec.ts
@@ -1,22 +1,21 @@
 /**
- * What callers saw: a job stood still for 3 s and more though a target of its pool had room.
- * Order of events: the link of one target delays each answer by 0.3 s; the tasks of several
- * jobs are placed there together, because it is the fullest; its starts are sent one after
- * another, so that the tenth leaves after 3 s.
- * Cause: a target was asked for room, and not for how soon it takes an order.
- * Evidence: `orderLate` with 3,047 to 3,232 ms for all tasks of a job, while `i-00000006` was empty.
+ * Guards against jobs that do not progress for 3 s or more while a target of their pool has room.
+ * It happens when the link of one target delays each answer by 0.3 s and placement looks only
+ * at free room, not at how soon a target takes an order: the tasks of several jobs are placed on
+ * that target, as it is the fullest, and its starts are sent one at a time. `orderLate` then
+ * shows waits of 3,047 to 3,232 ms for all tasks of a job while another target is empty.
  */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
-/** Time within which something that waits for nothing is done, in ms: the users' own limit. */
+/** Time limit for jobs that need not wait, in ms; it is the limit that users set. */
 const DONE_MS = 3000
-/** Time within which a task begins that has room on a target which answers at once, in ms. */
+/** Time within which a task begins if a target that answers at once has room for it, in ms. */
 const BEGUN_MS = 800
 
 describe('a target that answers late', () => {
-  it('holds up no task that another target has room for', async (t) => {
+  it('does not delay a task that another target has room for', async (t) => {
     const rig = createJobRig()
     const late = rig.addTarget('t1')
     const owner = await rig.own()
@@ -28,7 +27,7 @@
     const warm = makeJob({ ms: 50, cpu: 100 }, [{ count: 1 }])
     rig.submit(owner, warm)
     t.true(await rig.settled([warm], DONE_MS))
-    // The first one fills the queue of the target that is used already, the second comes behind it.
+    // The first job fills the order queue of the slow target, which is already in use.
     const [many, next] = [14, 2].map((count) =>
       makeJob({ ms: 800, cpu: 100 }, [{ count }]),
     )
@@ -41,7 +40,7 @@
     await rig.stop()
   })
 
-  it('gets all tasks in turn where it is the only one', async (t) => {
+  it('gets all tasks in turn if it is the only one', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1').faults.delayMs = 100
     const owner = await rig.own()
