--- a/src/scheduler/__tests__/crashingTasks.spec.ts
+++ b/src/scheduler/__tests__/crashingTasks.spec.ts
@@ -75,19 +75,19 @@
   it('does not fail other jobs that run on the same targets', async (t) => {
     const rig = createCrashRig(t)
     const owner = await rig.own()
-    const neighbours = Array.from({ length: 4 }, () =>
+    const others = Array.from({ length: 4 }, () =>
       makeJob({ ms: 700, cpu: 400 }, [{ count: 6 }]),
     )
     const crashing = Array.from({ length: 3 }, () =>
       makeJob({ ms: 700, cpu: 400, crashMs: 5 }, [{ count: 1 }]),
     )
-    for (const [index, job] of neighbours.entries()) {
+    for (const [index, job] of others.entries()) {
       rig.submit(owner, job)
       await sleep(150)
       if (crashing[index]) rig.submit(owner, crashing[index])
     }
-    t.true(await rig.settled([...neighbours, ...crashing], 2 * SETTLE_TIMEOUT_MS))
-    t.deepEqual([...new Set(neighbours.map(rig.outcomeOf))], ['completed'])
+    t.true(await rig.settled([...others, ...crashing], 2 * SETTLE_TIMEOUT_MS))
+    t.deepEqual([...new Set(others.map(rig.outcomeOf))], ['completed'])
     t.deepEqual([...new Set(crashing.map(rig.outcomeOf))], ['failed'])
   })
 
@@ -154,16 +154,16 @@
   it('do not hold up jobs that shared a target with them', async (t) => {
     const rig = createCrashRig(t, POOL)
     const owner = await rig.own()
-    const sound = Array.from({ length: 12 }, () =>
+    const healthy = Array.from({ length: 12 }, () =>
       makeJob({ ms: 600, cpu: 800 }, [{ count: 3 }]),
     )
     for (const [index, job] of makeCrashing(12).entries()) {
-      rig.submit(owner, sound[index]!)
+      rig.submit(owner, healthy[index]!)
       rig.submit(owner, job)
       await sleep(50)
     }
-    t.true(await rig.settled(sound, 10_000))
-    t.deepEqual([...new Set(sound.map(rig.outcomeOf))], ['completed'])
+    t.true(await rig.settled(healthy, 10_000))
+    t.deepEqual([...new Set(healthy.map(rig.outcomeOf))], ['completed'])
   })
 })
 
--- a/src/scheduler/__tests__/lifeCheck.spec.ts
+++ b/src/scheduler/__tests__/lifeCheck.spec.ts
@@ -8,9 +8,9 @@
 /** Time between two checks, in ms; longer than the shortest time between two reads of the list. */
 const CHECK_INTERVAL_MS = 260
 
-/** Creates a silent target with a run, whose first report came `heardForMs` ago. */
-function createSilentAgent(id: string, heardForMs: number) {
-  const firstReportAt = monotonicMs() - heardForMs
+/** Creates a silent target with a run, whose first report came `reportedForMs` ago. */
+function createSilentAgent(id: string, reportedForMs: number) {
+  const firstReportAt = monotonicMs() - reportedForMs
   const agent = {
     target: { id },
     placements: new Map([['task', {}]]),
--- a/src/scheduler/arrivals.ts
+++ b/src/scheduler/arrivals.ts
@@ -39,26 +39,26 @@
 
 /** Creates a meter without any arrivals. */
 export function createArrivalMeter(): ArrivalMeter {
-  let times: number[] = []
+  let arrivalTimes: number[] = []
   let meanWork = 0
   let jobCount = 0
 
   /** Highest rate of all windows that end now and begin with an arrival, in jobs per ms. */
   function jobsPerMs(now: number): number {
     let highest = 0
-    for (let count = MIN_ARRIVALS; count < times.length; count++) {
-      const spanMs = now - times[times.length - 1 - count]!
+    for (let count = MIN_ARRIVALS; count < arrivalTimes.length; count++) {
+      const spanMs = now - arrivalTimes[arrivalTimes.length - 1 - count]!
       if (spanMs > MAX_WINDOW_MS) break
       const discountedCount = count - DISCOUNT_DEVIATIONS * Math.sqrt(count)
       highest = Math.max(highest, discountedCount / Math.max(MIN_SPAN_MS, spanMs))
     }
-    const silentMs = now - (times.at(-1) ?? now)
+    const silentMs = now - (arrivalTimes.at(-1) ?? now)
     return silentMs > 0 ? Math.min(highest, MAX_SILENCE_JOBS / silentMs) : highest
   }
 
   return {
     note(work, now) {
-      times = [...times, now].sort((a, b) => a - b).slice(-MAX_ARRIVALS - 1)
+      arrivalTimes = [...arrivalTimes, now].sort((a, b) => a - b).slice(-MAX_ARRIVALS - 1)
       jobCount++
       meanWork += (work - meanWork) * Math.max(MEAN_WEIGHT, 1 / jobCount)
     },
--- a/src/scheduler/lifeCheck.ts
+++ b/src/scheduler/lifeCheck.ts
@@ -19,9 +19,9 @@
  * Time for which the list must lack a VM before its target counts as gone, in ms. It takes two
  * reads, as one may leave out a row that could not be read.
  */
-const ABSENT_MS = 200
+const MIN_ABSENT_MS = 200
 /** The same for a target that first answered lately or never, and may not be listed yet. */
-const YOUNG_ABSENT_MS = 700
+const MIN_NEW_ABSENT_MS = 700
 
 /** Checks silent targets against the list of VMs. */
 export interface LifeCheck {
@@ -63,7 +63,7 @@
     const { id } = agent.target
     const since = absentSince.get(id) ?? sentAt
     absentSince.set(id, since)
-    const absentMs = mustBeListed(agent, sentAt) ? ABSENT_MS : YOUNG_ABSENT_MS
+    const absentMs = mustBeListed(agent, sentAt) ? MIN_ABSENT_MS : MIN_NEW_ABSENT_MS
     if (sentAt - since < absentMs) return
     absentSince.delete(id)
     agent.markGone('no VM has its id')
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -160,7 +160,7 @@
       return switchIncarnation(report)
     incarnationStartMs = report.lifeStartMs
     lease.noteClock(report.clockMs)
-    const silentMs = silence.end(report.ends.length)
+    const silentMs = silence.markAnswering(report.ends.length)
     crashRecorder.noteAnswer()
     runs.apply(report, reportToken, silentMs)
     if (!hasReported())
@@ -234,7 +234,7 @@
   function noteFailure(error: OrderError): void {
     crashRecorder.noteFailure(error)
     if (error.failure === 'gone') return markGone(error.reason)
-    silence.begin(error.reason)
+    silence.markSilent(error.reason)
   }
 
   /** Gives up all runs once their lease has expired, as a silent target has stopped them. */
--- a/src/scheduler/targetSilence.ts
+++ b/src/scheduler/targetSilence.ts
@@ -11,13 +11,13 @@
    */
   noteMissed(sentAt: number): void
   /** Marks the target as silent. */
-  begin(reason: string): void
+  markSilent(reason: string): void
   /**
    * Marks the target as answering.
    * @param ends number of ended runs in the answer
    * @returns time for which it had not answered, in ms
    */
-  end(ends: number): number
+  markAnswering(ends: number): number
 }
 
 /** Creates the state of a target, which counts as answering until it is marked as silent. */
@@ -28,11 +28,11 @@
   return {
     isAnswering: () => isAnswering,
     noteMissed: (sentAt) => void (missedSince ??= sentAt),
-    begin(reason) {
+    markSilent(reason) {
       if (isAnswering) log.event('targetSilent', { target: targetId, reason })
       isAnswering = false
     },
-    end(ends) {
+    markAnswering(ends) {
       const silentMs = missedSince === undefined ? 0 : monotonicMs() - missedSince
       const fields = { target: targetId, silentMs: Math.round(silentMs), ends }
       if (!isAnswering) log.event('targetAnswers', fields)
