--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -172,8 +172,8 @@
 
   /**
    * Switches to another incarnation. Runs of the earlier one are over, but orders sent to it
-   * may still reach the new one. A raised token makes the new one refuse them, and only its
-   * reports under that token show that a run is missing.
+   * may still reach the new one. A raised token makes the new one refuse them, and only reports
+   * under that token are trusted to list all its runs.
    */
   function switchIncarnation(report: TargetReport): void {
     log.event('targetReborn', { target: targetId, runs: placements.size })
@@ -291,7 +291,7 @@
   function pollWaitMs(): number {
     if (runs.shared().some(({ fills }) => fills)) return PACED_WAIT_MS
     const isBusy = [...placements.values()].some(({ task }) => !task?.step.spec.lasting)
-    // Shorter polls would take processor time from starts that are already late.
+    // While the owner is behind, shorter polls would take processor time from waiting starts.
     return isBusy && !startWindow.isBehind() ? BUSY_WAIT_MS : SYNC_WAIT_MS
   }
 
@@ -325,7 +325,7 @@
     await syncOnce(0)
   }
 
-  /** Whether the list shows another incarnation than answers; its capacity may differ. */
+  /** Whether the list shows an incarnation that is not the answering one; capacities may differ. */
   const isOtherIncarnationListed = (): boolean =>
     incarnationStartMs !== undefined &&
     target.lifeStartMs !== 0 &&
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -42,9 +42,12 @@
    * until the next report lists it.
    */
   confirmedClockMs: number
-  /** A report under this token or a newer one lists the run unless it is over or never began. */
+  /**
+   * A report under this token or a higher one lists the run unless it is over or never began;
+   * Infinity if there is no such token.
+   */
   fencedByToken: number
-  /** Whether its start was sent before the target restarted. */
+  /** Whether its start was sent, and may have arrived, before the target restarted. */
   isOfEarlierIncarnation: boolean
   /** Progress in percent, as last reported. */
   percent: number
