--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -34,12 +34,12 @@
   const meanByQueue = new Map<string, number>()
   const runCounts = new Map<string, number>()
 
-  const meanOf = (step: Step): number =>
+  const expectedRunMs = (step: Step): number =>
     meanByQueue.get(step.job.spec.queue) ?? (step.spec.estimateMs || DEFAULT_RUN_MS)
 
   /** Expected time of a whole step, in ms: that of its longest task. */
   const stepTimeMs = (step: Step): number =>
-    meanOf(step) * (step.tasks.length > 1 ? LONGEST_TASK_FACTOR : 1)
+    expectedRunMs(step) * (step.tasks.length > 1 ? LONGEST_TASK_FACTOR : 1)
 
   /** Length of the critical path over the steps of the due occurrences, in ms. */
   function longestPathMs(job: Job, stepMs: (step: Step) => number): number {
@@ -64,7 +64,7 @@
       meanByQueue.set(queue, previous + (ranMs - previous) * NEWEST_RUN_WEIGHT)
     },
     knows: (step) => (runCounts.get(step.job.spec.queue) ?? 0) >= MIN_RUNS,
-    meanOf,
+    meanOf: expectedRunMs,
     chainOf: (job) => longestPathMs(job, stepTimeMs),
     remainingOf: (job, now) =>
       longestPathMs(job, (step) => Math.max(0, stepTimeMs(step) - runningMs(step, now))),
