--- a/src/scheduler/__tests__/lifeCheck.spec.ts
+++ b/src/scheduler/__tests__/lifeCheck.spec.ts
@@ -23,8 +23,8 @@
   return agent
 }
 
-function createCheck(lives: string[]) {
-  const vms = lives.map((targetId) => ({ targetId }) as Vm)
+function createCheck(listedIds: string[]) {
+  const vms = listedIds.map((targetId) => ({ targetId }) as Vm)
   const cloud = { list: async () => ok(vms) } as unknown as VmCloud
   return createLifeCheck(cloud, createMemoryLogger())
 }
--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -202,10 +202,10 @@
     const some = tasks(8)
     for (const task of some) start(task)
     await sender.idle()
-    const asked = new Set(sent).size
-    t.true(asked < 8)
-    t.is(book.ready.size, 8 - asked)
-    t.is(runs.placements.size, asked)
+    const sentCount = new Set(sent).size
+    t.true(sentCount < 8)
+    t.is(book.ready.size, 8 - sentCount)
+    t.is(runs.placements.size, sentCount)
     t.true([...runs.placements.values()].every(({ state }) => state === 'unsure'))
   })
 })
--- a/src/scheduler/arrivals.ts
+++ b/src/scheduler/arrivals.ts
@@ -19,7 +19,7 @@
  * such a gap has a probability of 0.14. Without the bound a slow queue seemed to go on for 3 s
  * after its last job.
  */
-const MAX_SILENCE_JOBS = 2
+const MAX_GAP_JOBS = 2
 /** Shortest span of a window, in ms: jobs of one caller may arrive within a millisecond. */
 const MIN_SPAN_MS = 30
 /** Weight of the newest job in the mean work of a job, once 20 jobs have been averaged evenly. */
@@ -52,8 +52,8 @@
       const discountedCount = count - DISCOUNT_DEVIATIONS * Math.sqrt(count)
       highest = Math.max(highest, discountedCount / Math.max(MIN_SPAN_MS, spanMs))
     }
-    const silentMs = now - (arrivalTimes.at(-1) ?? now)
-    return silentMs > 0 ? Math.min(highest, MAX_SILENCE_JOBS / silentMs) : highest
+    const gapMs = now - (arrivalTimes.at(-1) ?? now)
+    return gapMs > 0 ? Math.min(highest, MAX_GAP_JOBS / gapMs) : highest
   }
 
   return {
--- a/src/scheduler/crashRecorder.ts
+++ b/src/scheduler/crashRecorder.ts
@@ -59,10 +59,10 @@
   /** Monotonic time of the first failed connection, in ms; Infinity while connected. */
   let disconnectedAt = Infinity
   /** Suspected runs whose leases have expired, kept until a crash is confirmed or ruled out. */
-  let lapsedRuns: CrashedRun[] = []
+  let expiredRuns: CrashedRun[] = []
 
   const noteAnswer = (): void => {
-    lapsedRuns = []
+    expiredRuns = []
     disconnectedAt = Infinity
   }
 
@@ -72,9 +72,9 @@
       if (isDisconnected) disconnectedAt = Math.min(disconnectedAt, monotonicMs())
     },
     noteAnswer,
-    noteLeaseExpiry: () => void lapsedRuns.push(...runs.crashedRuns(disconnectedAt)),
+    noteLeaseExpiry: () => void expiredRuns.push(...runs.crashedRuns(disconnectedAt)),
     takeCrashedRuns() {
-      const crashed = [...lapsedRuns, ...runs.crashedRuns(disconnectedAt)]
+      const crashed = [...expiredRuns, ...runs.crashedRuns(disconnectedAt)]
       noteAnswer()
       return crashed
     },
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -32,7 +32,7 @@
   tickets: Map<string, string>
   /** Monotonic time until which the answer is valid, in ms; after a failure, that of the retry. */
   validUntil: number
-  isAsking: boolean
+  isRequesting: boolean
 }
 
 /** Creates an empty cache. */
@@ -52,11 +52,11 @@
     ids: string[],
   ): Promise<void> {
     if (!advice) return log.event('adviceMissing', { job: step.job.spec.id })
-    state.isAsking = true
+    state.isRequesting = true
     const name = `${step.job.spec.id}.${step.occurrence}.${step.index}`
     const sentAt = monotonicMs()
     const res = await advice.ask(name, ids)
-    state.isAsking = false
+    state.isRequesting = false
     if (res.isErr()) {
       log.event('adviceFailed', { step: name, reason: describeError(res.error) })
       state.validUntil = monotonicMs() + RETRY_MS
@@ -84,10 +84,10 @@
       const state = adviceByStep.get(step) ?? {
         tickets: new Map(),
         validUntil: 0,
-        isAsking: false,
+        isRequesting: false,
       }
       adviceByStep.set(step, state)
-      if (state.isAsking || state.validUntil - monotonicMs() >= MIN_VALID_MS) return
+      if (state.isRequesting || state.validUntil - monotonicMs() >= MIN_VALID_MS) return
       const candidates = agents.filter(
         (agent) => agent.isUsable() && agent.room.fits(step),
       )
