--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -1,6 +1,6 @@
 /**
  * Estimates how long tasks run, from a moving average of the run times of each queue. Until a
- * run of the queue has ended, the caller's estimate is used; such estimates are far off.
+ * run of the queue has ended, the caller's estimate is used, although such estimates are far off.
  */
 import type { Job, Step, Task } from '../jobs/index.js'
 
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -122,7 +122,7 @@
   ended(task: Task, kind: string): void
 }
 
-/** Creates the view of a target without runs. */
+/** Creates the runs of a target; there are none at first. */
 export function createTargetRuns(opts: TargetRunsOptions): TargetRuns {
   const { book, authority, log } = opts
   const { id: targetId, capacity } = opts.target
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -1,7 +1,7 @@
 /**
  * Fetches and caches tickets, the permissions of the advice service to start a step on a target.
- * Queues with a policy need them. Each step has at most one request in flight; its tickets are
- * reused while they are valid.
+ * They are needed for queues whose policy restricts the targets of a step. Each step has at most
+ * one request in flight; its tickets are reused while they are valid.
  */
 import type { Step } from '../jobs/index.js'
 import type { Advice } from '../ports/index.js'
@@ -30,7 +30,7 @@
 interface StepAdvice {
   /** Tickets by target id. */
   tickets: Map<string, string>
-  /** Monotonic time until which the answer is valid, in ms; after a failure, that of the retry. */
+  /** Monotonic time until which the answer is valid, in ms; after a failure, end of the pause. */
   validUntil: number
   isRequesting: boolean
 }
