--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -195,7 +195,7 @@
     })
   })
 
-  // Otherwise each of several starts for a silent target waits for the time-outs before it.
+  // Otherwise each of four queued starts for a silent target waits for the time-outs before it.
   it('makes the tasks of queued starts ready when the target does not answer', async (t) => {
     const failure = { failure: 'unanswered', reason: 'no answer', cause: NO_ANSWER }
     const { sent, sender, book, runs, start, tasks } = startSender(() => err(failure))
--- a/src/scheduler/__tests__/rebornTargets.spec.ts
+++ b/src/scheduler/__tests__/rebornTargets.spec.ts
@@ -111,7 +111,7 @@
 })
 
 describe('target that is taken for gone while it is alive', () => {
-  // Another writer's entry can lead calls to a wrong address, where another target answers.
+  // Another writer's entry can lead calls to a wrong address, where another incarnation answers.
   it('is used again if it stays listed', async (t) => {
     const rig = createJobRig()
     t.teardown(() => rig.stop())
--- a/src/scheduler/__tests__/slowLinks.spec.ts
+++ b/src/scheduler/__tests__/slowLinks.spec.ts
@@ -2,8 +2,9 @@
  * Guards against jobs that do not progress for 3 s or more while a target of their pool has room.
  * It happens when the link of one target delays each answer by 0.3 s and placement looks only
  * at free room, not at how soon a target takes an order: the tasks of several jobs are placed on
- * that target, as it is the fullest, and its starts are sent one at a time. `orderLate` then
- * shows waits of 3,047 to 3,232 ms for all tasks of a job while another target is empty.
+ * that target, as it is the fullest, and its starts are sent one at a time, so that the tenth is
+ * sent after 3 s. `orderLate` then shows waits of 3,047 to 3,232 ms for all tasks of a job while
+ * another target is empty.
  */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
@@ -27,7 +28,7 @@
     const warm = makeJob({ ms: 50, cpu: 100 }, [{ count: 1 }])
     rig.submit(owner, warm)
     t.true(await rig.settled([warm], DONE_MS))
-    // The first job fills the order queue of the slow target, which is already in use.
+    // The first job fills the order queue of the slow target, which is in use; the second follows.
     const [many, next] = [14, 2].map((count) =>
       makeJob({ ms: 800, cpu: 100 }, [{ count }]),
     )
