--- a/src/scheduler/__tests__/crashingTasks.spec.ts
+++ b/src/scheduler/__tests__/crashingTasks.spec.ts
@@ -5,41 +5,41 @@
 import { sleep } from '../../shared/index.js'
 
 const POOL_SIZE = 6
-/** Time after which a crashed target comes back under a new id, in ms. */
+/** Time after which a target under a new id replaces a crashed one, in ms. */
 const RESTART_MS = 400
 /** Time limit for jobs to settle, in ms. */
-const PATIENCE_MS = 8000
-/** Most starts of a task that crashes each target: two more are allowed after three crashes. */
+const SETTLE_TIMEOUT_MS = 8000
+/** Limit on the starts of a task that crashes each target: two are allowed after three crashes. */
 const MAX_STARTS = 5
 
 interface CrashRig extends JobRig {
   /** Lowest number of targets that were up at the same time. */
   minTargets(): number
   startsOf(task: string): number
-  /** Crashes during runs of a task; 0 while a crashed target is not back. */
+  /** Number of runs of a task that crashes have ended; 0 while a crashed target is down. */
   crashesOf(task: string): number
 }
 
-/** Creates a rig whose targets come back under another id after a crash. */
+/** Creates a rig in which a target under a new id replaces each crashed one. */
 function createCrashRig(
   t: ExecutionContext,
   { poolSize = POOL_SIZE, restartMs = RESTART_MS } = {},
 ): CrashRig {
   const rig = createJobRig()
   t.teardown(() => rig.stop())
-  let lives = 0
+  let addedCount = 0
   let minTargets = poolSize
-  const addLife = (): void => {
-    lives++
-    rig.addTarget(`life-${lives}`)
+  const addTarget = (): void => {
+    addedCount++
+    rig.addTarget(`life-${addedCount}`)
   }
   rig.crashed = (id) => {
     rig.targets.delete(id)
     rig.unlist(id)
     minTargets = Math.min(minTargets, rig.targets.size)
-    setTimeout(addLife, restartMs).unref()
+    setTimeout(addTarget, restartMs).unref()
   }
-  for (let each = 0; each < poolSize; each++) addLife()
+  for (let each = 0; each < poolSize; each++) addTarget()
   return Object.assign(rig, {
     minTargets: () => minTargets,
     startsOf: (name: string) =>
@@ -62,12 +62,12 @@
 }
 
 describe('task that crashes each target that starts it', () => {
-  it('is given up before it is started three times more', async (t) => {
+  it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
     const owner = await rig.own()
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -75,19 +75,19 @@
   it('does not fail other jobs that run on the same targets', async (t) => {
     const rig = createCrashRig(t)
     const owner = await rig.own()
-    const neighbours = Array.from({ length: 4 }, () =>
+    const others = Array.from({ length: 4 }, () =>
       makeJob({ ms: 700, cpu: 400 }, [{ count: 6 }]),
     )
     const crashing = Array.from({ length: 3 }, () =>
       makeJob({ ms: 700, cpu: 400, crashMs: 5 }, [{ count: 1 }]),
     )
-    for (const [index, job] of neighbours.entries()) {
+    for (const [index, job] of others.entries()) {
       rig.submit(owner, job)
       await sleep(150)
       if (crashing[index]) rig.submit(owner, crashing[index])
     }
-    t.true(await rig.settled([...neighbours, ...crashing], 2 * PATIENCE_MS))
-    t.deepEqual([...new Set(neighbours.map(rig.outcomeOf))], ['completed'])
+    t.true(await rig.settled([...others, ...crashing], 2 * SETTLE_TIMEOUT_MS))
+    t.deepEqual([...new Set(others.map(rig.outcomeOf))], ['completed'])
     t.deepEqual([...new Set(crashing.map(rig.outcomeOf))], ['failed'])
   })
 
@@ -96,31 +96,31 @@
     const owner = await rig.own()
     const job = makeJob({ ms: 700, cpu: 1000, crashMs: 5 }, [{ count: 8 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.minTargets() >= POOL_SIZE / 2)
   })
 
-  it('is given up although its service changes its owner after each crash', async (t) => {
+  it('fails after five starts at most although the owner changes after each crash', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     let owner = await rig.own()
     rig.submit(owner, job)
     for (let crashes = 1; crashes <= MAX_STARTS; crashes++) {
-      const endsAt = performance.now() + PATIENCE_MS
+      const endsAt = performance.now() + SETTLE_TIMEOUT_MS
       const hasReturned = (): boolean => rig.crashesOf(`${job.id}.0.0.0`) >= crashes
       while (!hasReturned() && performance.now() < endsAt && !rig.outcomeOf(job))
         await sleep(5)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
 })
 
 describe('task that crashes its target right after its owner has died', () => {
-  it('is given up before it is started three times more', async (t) => {
+  it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     let owner = await rig.own()
@@ -129,7 +129,7 @@
       while (rig.startsOf(`${job.id}.0.0.0`) < changes) await sleep(1)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], PATIENCE_MS))
+    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -142,7 +142,7 @@
       makeJob({ ms: 600, cpu: 800, crashMs: 5 }, [{ count: 2 }]),
     )
 
-  it('are given up within seconds, side by side', async (t) => {
+  it('all fail within 25 s', async (t) => {
     const rig = createCrashRig(t, POOL)
     const owner = await rig.own()
     const crashing = makeCrashing(12)
@@ -154,21 +154,21 @@
   it('do not hold up jobs that shared a target with them', async (t) => {
     const rig = createCrashRig(t, POOL)
     const owner = await rig.own()
-    const sound = Array.from({ length: 12 }, () =>
+    const healthy = Array.from({ length: 12 }, () =>
       makeJob({ ms: 600, cpu: 800 }, [{ count: 3 }]),
     )
     for (const [index, job] of makeCrashing(12).entries()) {
-      rig.submit(owner, sound[index]!)
+      rig.submit(owner, healthy[index]!)
       rig.submit(owner, job)
       await sleep(50)
     }
-    t.true(await rig.settled(sound, 10_000))
-    t.deepEqual([...new Set(sound.map(rig.outcomeOf))], ['completed'])
+    t.true(await rig.settled(healthy, 10_000))
+    t.deepEqual([...new Set(healthy.map(rig.outcomeOf))], ['completed'])
   })
 })
 
 describe('task whose targets are cut off', () => {
-  it('is not given up, however often its lease ends', async (t) => {
+  it('does not fail, however often its lease expires', async (t) => {
     const rig = createJobRig()
     t.teardown(() => rig.stop())
     for (let each = 1; each <= 4; each++) rig.addTarget(`t${each}`)
@@ -181,7 +181,7 @@
       const cut = rig.targets.get(starts().at(-1)!.target)!
       cut.faults.silent = true
     }
-    t.true(await rig.settled([job], 2 * PATIENCE_MS))
+    t.true(await rig.settled([job], 2 * SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'completed')
   })
 })
--- a/src/scheduler/crashRecorder.ts
+++ b/src/scheduler/crashRecorder.ts
@@ -1,4 +1,4 @@
-/** Attributes crashes of a target to the runs that may have caused them, and records them. */
+/** Records crashes of a target and the runs that may have caused them. */
 import type { JobBook, Task } from '../jobs/index.js'
 import type { OrderError } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
@@ -59,10 +59,10 @@
   /** Monotonic time of the first failed connection, in ms; Infinity while connected. */
   let disconnectedAt = Infinity
   /** Suspected runs whose leases have expired, kept until a crash is confirmed or ruled out. */
-  let lapsedRuns: CrashedRun[] = []
+  let expiredRuns: CrashedRun[] = []
 
   const noteAnswer = (): void => {
-    lapsedRuns = []
+    expiredRuns = []
     disconnectedAt = Infinity
   }
 
@@ -72,9 +72,9 @@
       if (isDisconnected) disconnectedAt = Math.min(disconnectedAt, monotonicMs())
     },
     noteAnswer,
-    noteLeaseExpiry: () => void lapsedRuns.push(...runs.crashedRuns(disconnectedAt)),
+    noteLeaseExpiry: () => void expiredRuns.push(...runs.crashedRuns(disconnectedAt)),
     takeCrashedRuns() {
-      const crashed = [...lapsedRuns, ...runs.crashedRuns(disconnectedAt)]
+      const crashed = [...expiredRuns, ...runs.crashedRuns(disconnectedAt)]
       noteAnswer()
       return crashed
     },
--- a/src/scheduler/crashSuspects.ts
+++ b/src/scheduler/crashSuspects.ts
@@ -13,13 +13,13 @@
   role: CrashRole
 }
 
-/** Uptime of a run that the target has confirmed, in ms of the target's clock. */
+/** Time since the target confirmed the start of a run, in ms of its clock; 0 if it has not. */
 export function confirmedUptimeMs(
-  { confirmedClock }: Placement,
+  { confirmedClockMs }: Placement,
   clockMs: number,
 ): number {
-  const isConfirmed = confirmedClock > 0 && Number.isFinite(confirmedClock)
-  return isConfirmed ? Math.max(0, clockMs - confirmedClock) : 0
+  const isConfirmed = confirmedClockMs > 0 && Number.isFinite(confirmedClockMs)
+  return isConfirmed ? Math.max(0, clockMs - confirmedClockMs) : 0
 }
 
 /** Whether a run may have begun and is not yet known to be stable. */
@@ -45,7 +45,7 @@
  * The runs to which a crash is attributed: the recently started ones, or if there are none, all
  * with a confirmed uptime below LONG_STABLE_AFTER_MS.
  * @param clockMs last known value of the target's clock
- * @param disconnectedAt steady time of the first failed connection, in ms
+ * @param disconnectedAt monotonic time of the first failed connection, in ms
  */
 export function findCrashedRuns(
   placements: Iterable<Placement>,
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -1,8 +1,10 @@
 /**
- * One task per target: long polls for ends, renews leases, gives orders one after
- * another, and keeps the view of what runs there. An order without an answer may still
- * be carried out; its run stays `unsure` until the target says otherwise under a newer
- * token, which makes it refuse the old order, or until its lease is over.
+ * The agent of one target: long polls it for ended runs, renews the leases of its runs,
+ * sends it orders one at a time and tracks what runs on it. A start order without an answer
+ * may still be carried out, so its run stays `unsure` until the target reports under a newer
+ * fencing token, which makes it refuse the old order, or until the lease of the run expires.
+ *
+ * An incarnation is one start of a target under its id; no run survives into the next one.
  */
 import type {
   OrderError,
@@ -23,7 +25,7 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createPacer } from '../sharing/index.js'
-import { ask } from './ask.js'
+import { callWithRetries } from './ask.js'
 import {
   ACK_WAIT_MS,
   ANSWER_TIMEOUT_MS,
@@ -45,7 +47,7 @@
 import { createTargetSilence } from './targetSilence.js'
 import type { TargetAgent, TargetHold } from './types.js'
 
-/** What the agent works with. */
+/** Dependencies and callbacks of the agent. */
 export interface TargetAgentOptions {
   target: Target
   link: TargetLink
@@ -54,26 +56,26 @@
   progress: ProgressWriter
   /** Starts in flight on all targets of the owner. */
   startWindow: StartWindow
-  /** Time that unknown runs of the predecessor may last, in ms. */
+  /** Longest time for which unknown runs of the previous owner can go on, in ms. */
   inheritedLeaseMs: number
-  /** Initial bump of the token, above those that earlier lives of the id have seen. */
-  initialBump: number
+  /** Initial token offset, above those that earlier incarnations of the id have seen. */
+  initialTokenOffset: number
   log: Logger
-  /** It did not accept the ticket of a step. */
+  /** Called when the target refused a ticket of the step. */
   ticketRefused(step: Step, targetId: string): void
-  /** Room, state or reports have changed. */
+  /** Called when the free room, the state or the reports of the target have changed. */
   changed(): void
-  /** A run has ended; for evidence about the target. */
+  /** Called when a run has ended, for the health record of the target. */
   ended(agent: TargetAgent, task: Task, kind: string): void
-  /** Another life answers under its id; evidence about the earlier one no longer applies. */
+  /** Called when another incarnation answers; the health record of the earlier one is void. */
   restarted(agent: TargetAgent): void
-  /** A crash of the target has been recorded. */
+  /** Called when a crash of the target is recorded. */
   crashed(): void
-  /** The life is over and every run on it is dead; another life may come under the id. */
+  /** Called when the incarnation and all its runs are over; another one may follow. */
   gone(agent: TargetAgent): void
 }
 
-/** Creates the agent; it calls the target from now on, until it is closed. */
+/** Creates the agent, which calls the target from now on until it is closed. */
 export function createTargetAgent(opts: TargetAgentOptions): TargetAgent {
   const { link, book, authority, progress, startWindow, log } = opts
   const { id: targetId } = opts.target
@@ -84,22 +86,25 @@
   const pacer = createPacer()
   const silence = createTargetSilence(targetId, log)
   let target = opts.target
-  /** Raised to make the target refuse orders that went unanswered. */
-  let bump = opts.initialBump
-  /** Start of the life that answers, in ms since 1970; undefined before the first report. */
-  let lifeStartMs: number | undefined
-  /** Starts of earlier lives, whose late reports are ignored. */
-  const earlierLives = new Set<number>()
-  /** Pending while the crash of the earlier life is recorded; reports are ignored until then. */
-  let lifeSwitch: Promise<void> | undefined
+  /** Added to the token of the term; raised to make the target refuse unanswered orders. */
+  let tokenOffset = opts.initialTokenOffset
+  /** Start of the incarnation that answers, in ms since 1970; undefined before a report. */
+  let incarnationStartMs: number | undefined
+  /** Starts of earlier incarnations, whose late reports are ignored. */
+  const earlierIncarnations = new Set<number>()
+  /**
+   * Pending while the crash of the earlier incarnation is being recorded; reports are ignored
+   * until it resolves.
+   */
+  let incarnationSwitch: Promise<void> | undefined
   let ackedSeq = 0
-  /** Steady time of the first report of this life, in ms; Infinity before. */
-  let heardSince = Infinity
-  let gone = false
+  /** Monotonic time of the first report of this incarnation, in ms; Infinity before. */
+  let firstReportAt = Infinity
+  let isGone = false
   let pausedUntil = 0
 
-  const isHeard = (): boolean => heardSince < Infinity
-  const token = (): number => authority.term * TOKENS_PER_TERM + bump
+  const hasReported = (): boolean => firstReportAt < Infinity
+  const token = (): number => authority.term * TOKENS_PER_TERM + tokenOffset
 
   const runs = createTargetRuns({
     target,
@@ -150,59 +155,59 @@
   }
 
   function applyReport(report: TargetReport, reportToken: number): void {
-    if (lifeSwitch || earlierLives.has(report.lifeStartMs)) return
-    if (lifeStartMs !== undefined && lifeStartMs !== report.lifeStartMs)
-      return switchLife(report)
-    lifeStartMs = report.lifeStartMs
+    if (incarnationSwitch || earlierIncarnations.has(report.lifeStartMs)) return
+    if (incarnationStartMs !== undefined && incarnationStartMs !== report.lifeStartMs)
+      return switchIncarnation(report)
+    incarnationStartMs = report.lifeStartMs
     lease.noteClock(report.clockMs)
-    const silentMs = silence.end(report.ends.length)
+    const silentMs = silence.markAnswering(report.ends.length)
     crashRecorder.noteAnswer()
     runs.apply(report, reportToken, silentMs)
-    if (!isHeard())
+    if (!hasReported())
       log.event('targetHeard', { target: targetId, runs: report.runs.length })
-    heardSince = Math.min(heardSince, monotonicMs())
+    firstReportAt = Math.min(firstReportAt, monotonicMs())
     pacePlacements()
     opts.changed()
   }
 
   /**
-   * Switches to another life under the same id. Runs of the earlier life are over, but orders
-   * sent to it may still reach the new one: a raised token makes the new life refuse them before
-   * its list of runs is relied on.
+   * Switches to another incarnation. Runs of the earlier one are over, but orders sent to it
+   * may still reach the new one. A raised token makes the new one refuse them, and only reports
+   * under that token are trusted to list all its runs.
    */
-  function switchLife(report: TargetReport): void {
+  function switchIncarnation(report: TargetReport): void {
     log.event('targetReborn', { target: targetId, runs: placements.size })
-    if (lifeStartMs !== undefined) earlierLives.add(lifeStartMs)
-    lifeStartMs = report.lifeStartMs
-    heardSince = Infinity
+    if (incarnationStartMs !== undefined) earlierIncarnations.add(incarnationStartMs)
+    incarnationStartMs = report.lifeStartMs
+    firstReportAt = Infinity
     ackedSeq = 0
-    bump++
+    tokenOffset++
     lease.reset(report.clockMs)
     const crashed = crashRecorder.takeCrashedRuns()
-    runs.switchLife(token())
-    lifeSwitch = finishLifeSwitch(crashed)
+    runs.switchIncarnation(token())
+    incarnationSwitch = finishIncarnationSwitch(crashed)
   }
 
-  async function finishLifeSwitch(crashed: CrashedRun[]): Promise<void> {
+  async function finishIncarnationSwitch(crashed: CrashedRun[]): Promise<void> {
     await waitUntilConfirmed()
     if (signal.aborted) return
-    await crashRecorder.record({ reason: 'another life answers', crashed })
+    await crashRecorder.record({ reason: 'another incarnation answers', crashed })
     if (signal.aborted) return
-    lifeSwitch = undefined
+    incarnationSwitch = undefined
     opts.restarted(agent)
     opts.changed()
   }
 
   function markGone(reason: string): void {
-    if (gone) return
-    gone = true
+    if (isGone) return
+    isGone = true
     log.event('targetGone', { target: targetId, reason })
     void giveUpRuns(reason)
   }
 
   /**
-   * Waits while this owner is out of touch with the store: a successor may have heard from the
-   * target and recorded its tasks as done.
+   * Waits until the ownership is confirmed by the store. Until then a successor may have taken
+   * over and recorded tasks of the target as done.
    */
   async function waitUntilConfirmed(): Promise<void> {
     while (!authority.isConfirmed() && !signal.aborted) {
@@ -210,7 +215,7 @@
     }
   }
 
-  /** Gives up everything on a target that is gone. */
+  /** Records the crash of a target that is gone, gives up its runs and ends the agent. */
   async function giveUpRuns(reason: string): Promise<void> {
     await waitUntilConfirmed()
     if (signal.aborted) return
@@ -229,109 +234,117 @@
   function noteFailure(error: OrderError): void {
     crashRecorder.noteFailure(error)
     if (error.failure === 'gone') return markGone(error.reason)
-    silence.begin(error.reason)
+    silence.markSilent(error.reason)
   }
 
-  /** Once the lease of everything on a silent target is over, nothing runs there. */
+  /** Gives up all runs once their lease has expired, as a silent target has stopped them. */
   function expireLease(): void {
-    if (!lease.isOver() || placements.size === 0) return
-    // A successor may have renewed the leases: only an owner for certain can tell.
+    if (!lease.isExpired() || placements.size === 0) return
+    // A successor may have renewed the lease, so the ownership must be confirmed.
     if (!authority.isConfirmed()) return
     crashRecorder.noteLeaseExpiry()
-    runs.giveUpAll('lease is over')
+    runs.giveUpAll('lease expired')
   }
 
-  /** A newer owner has been here, unless it was only our own newer token. */
+  /**
+   * Handles a refusal of the token. It shows a newer owner, unless this owner itself has raised
+   * the token since the call was sent.
+   */
   function noteFenced(sentToken: number): void {
-    if (sentToken === token()) authority.lost('a target has seen a newer owner')
+    if (sentToken === token()) authority.lost('a target has seen a higher fencing token')
   }
 
   async function syncOnce(waitMs: number): Promise<boolean> {
     let sentToken = token()
-    /** False after a failed call: the target may have restarted, and another life may answer. */
-    let isLifeKnown = silence.isAnswering() && !lifeSwitch
+    /** False after a failed call, as the target may have restarted since. */
+    let isIncarnationKnown = silence.isAnswering() && !incarnationSwitch
     const send = (timeoutMs: number, pollMs: number): OrderResult<TargetReport> => {
       sentToken = token()
-      // A silent target may get a lease that we never hear of: it is not extended, so that
-      // it is over at a time that we know.
-      const leaseUntilMs = isLifeKnown ? lease.extend() : undefined
+      // A silent target may take a lease without our seeing its answer. Not extending it
+      // keeps the expiry known.
+      const leaseUntilMs = isIncarnationKnown ? lease.extend() : undefined
       const order = {
         token: sentToken,
-        ackedSeq: isLifeKnown ? ackedSeq : 0,
+        ackedSeq: isIncarnationKnown ? ackedSeq : 0,
         leaseUntilMs,
       }
-      isLifeKnown = false
+      isIncarnationKnown = false
       return link.sync({ ...order, waitMs: pollMs }, timeoutMs)
     }
-    const mayAskAgain = (): boolean => !gone && authority.mayOrder()
+    const mayRetry = (): boolean => !isGone && authority.mayOrder()
     const sentAt = monotonicMs()
-    const { res, lost } = await ask({ roundTrip, send, waitMs, mayAskAgain })
-    if (gone || signal.aborted) return false
-    if (lost > 0 || res.isErr()) silence.missed(sentAt)
+    const { res, unansweredCalls } = await callWithRetries({
+      roundTrip,
+      send,
+      waitMs,
+      mayRetry,
+    })
+    if (isGone || signal.aborted) return false
+    if (unansweredCalls > 0 || res.isErr()) silence.noteMissed(sentAt)
     if (res.isOk()) applyReport(res.value, sentToken)
     else if (res.error.failure === 'fenced') noteFenced(sentToken)
     else noteFailure(res.error)
     return res.isOk()
   }
 
-  /** Time that the target may wait for an end before it answers, in ms. */
+  /** Time for which the target may hold the poll until a run ends, in ms. */
   function pollWaitMs(): number {
     if (runs.shared().some(({ fills }) => fills)) return PACED_WAIT_MS
     const isBusy = [...placements.values()].some(({ task }) => !task?.step.spec.lasting)
-    // Polls that end sooner would take processor time from the starts that wait for it.
+    // While the owner is behind, shorter polls would take processor time from waiting starts.
     return isBusy && !startWindow.isBehind() ? BUSY_WAIT_MS : SYNC_WAIT_MS
   }
 
-  async function run(): Promise<void> {
+  async function syncUntilClosed(): Promise<void> {
     while (!signal.aborted) {
-      await lifeSwitch
+      await incarnationSwitch
       expireLease()
-      if (gone || !authority.mayOrder()) {
+      if (isGone || !authority.mayOrder()) {
         await sleep(SYNC_RETRY_MS, signal)
         continue
       }
-      if (runs.endsToAck() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
-      // It lists ends that are not acknowledged at once, so that no poll would last.
-      if (runs.endsSeen() > runs.endsToAck()) await sleep(ACK_WAIT_MS, signal)
-      const waits = isHeard() && runs.endsSeen() === ackedSeq
-      const done = await syncOnce(waits ? pollWaitMs() : 0)
-      if (!done) await sleep(jittered(SYNC_RETRY_MS), signal)
+      if (runs.ackableEndSeq() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
+      // A target answers a poll at once while ended runs are unacknowledged, so pause here.
+      if (runs.lastEndSeq() > runs.ackableEndSeq()) await sleep(ACK_WAIT_MS, signal)
+      const isCaughtUp = hasReported() && runs.lastEndSeq() === ackedSeq
+      const isAnswered = await syncOnce(isCaughtUp ? pollWaitMs() : 0)
+      if (!isAnswered) await sleep(jittered(SYNC_RETRY_MS), signal)
     }
   }
 
-  /** Syncs with the target as soon as a run of the suspect may count as stable. */
+  /** Syncs with the target as soon as the run of a crash suspect may count as stable. */
   async function checkStable(task: Task): Promise<void> {
     await sleep(stableAfterMs(task) + STABLE_CHECK_MARGIN_MS, signal)
-    if (!signal.aborted && !gone && authority.mayOrder()) await syncOnce(0)
+    if (!signal.aborted && !isGone && authority.mayOrder()) await syncOnce(0)
   }
 
-  /** Makes the target refuse all orders sent so far, then reads what became of them. */
+  /** Raises the token so that all orders sent so far are refused, then reads their outcome. */
   async function fenceUnanswered(): Promise<void> {
-    bump++
+    tokenOffset++
     runs.fence(token())
     await syncOnce(0)
   }
 
-  /** Whether the list shows another life than the one that answers, whose room may differ. */
-  const isOtherLifeListed = (): boolean =>
-    lifeStartMs !== undefined &&
+  /** Whether the list shows an incarnation that is not the answering one; capacities may differ. */
+  const isOtherIncarnationListed = (): boolean =>
+    incarnationStartMs !== undefined &&
     target.lifeStartMs !== 0 &&
-    target.lifeStartMs !== lifeStartMs
+    target.lifeStartMs !== incarnationStartMs
 
-  /** In the order in which they are asked: what lasts longest comes first. */
-  const HOLDS: { hold: TargetHold; holds(): boolean }[] = [
-    { hold: 'gone', holds: () => gone },
-    { hold: 'draining', holds: () => target.draining },
-    { hold: 'unlisted', holds: () => !agent.listed || isOtherLifeListed() },
-    { hold: 'unheard', holds: () => !isHeard() },
-    { hold: 'silent', holds: () => !silence.isAnswering() },
-    { hold: 'evacuating', holds: () => agent.evacuating },
-    // What runs there takes room that is not known before its jobs are read.
-    { hold: 'unread', holds: () => book.mayMissJobs && runs.heldCount() > 0 },
-    // Their tasks may be unknown: they have no placement, and their room is not counted.
-    { hold: 'unwanted', holds: () => runs.unwantedCount() > 0 },
-    { hold: 'paused', holds: () => monotonicMs() < pausedUntil },
-    { hold: 'noAuthority', holds: () => !authority.mayOrder() },
+  /** Rules in the order in which they are checked; those that last longest come first. */
+  const HOLD_RULES: { hold: TargetHold; applies(): boolean }[] = [
+    { hold: 'gone', applies: () => isGone },
+    { hold: 'draining', applies: () => target.draining },
+    { hold: 'unlisted', applies: () => !agent.listed || isOtherIncarnationListed() },
+    { hold: 'unheard', applies: () => !hasReported() },
+    { hold: 'silent', applies: () => !silence.isAnswering() },
+    { hold: 'evacuating', applies: () => agent.evacuating },
+    // The room that these runs take is unknown until their jobs have been read.
+    { hold: 'unread', applies: () => book.mayMissJobs && runs.heldCount() > 0 },
+    // Unwanted runs have no placement, so the room that they take is not counted.
+    { hold: 'unwanted', applies: () => runs.unwantedCount() > 0 },
+    { hold: 'paused', applies: () => monotonicMs() < pausedUntil },
+    { hold: 'noAuthority', applies: () => !authority.mayOrder() },
   ]
 
   const agent: TargetAgent = {
@@ -340,22 +353,22 @@
     },
     placements,
     room,
-    bump: () => bump,
+    tokenOffset: () => tokenOffset,
     evacuating: false,
     listed: true,
-    hold: () => HOLDS.find(({ holds }) => holds())?.hold,
+    hold: () => HOLD_RULES.find(({ applies }) => applies())?.hold,
     isUsable: () => agent.hold() === undefined,
     pausedUntil: () => pausedUntil,
-    settledBy: lease.overAt,
-    heardSince: () => heardSince,
-    isSettled: () => isHeard() || gone || lease.isOver(),
+    settledBy: lease.expiresAt,
+    firstReportAt: () => firstReportAt,
+    isSettled: () => hasReported() || isGone || lease.isExpired(),
     isSilent: () => !silence.isAnswering(),
-    isAnswering: () => silence.isAnswering() && isHeard() && !gone,
+    isAnswering: () => silence.isAnswering() && hasReported() && !isGone,
     update(next) {
       if (next.draining && !target.draining) {
         log.event('targetDraining', { target: targetId })
       }
-      // The link keeps the address that it was opened with.
+      // The link goes on calling the address that it was opened with.
       target = { ...next, address: target.address }
       room.resize(next.capacity)
     },
@@ -368,7 +381,7 @@
       const placement = placements.get(name)
       if (!placement || placement.state === 'stopping') return
       placement.state = 'stopping'
-      placement.stopAskedAt = monotonicMs()
+      placement.stopOrderedAt = monotonicMs()
       sender.stop(name, placement.run)
     },
     isIsolated: runs.isIsolated,
@@ -383,23 +396,23 @@
     markGone,
     async close() {
       stopping.abort()
-      progress.removeSource(acks)
+      progress.removeSource(ackSource)
       link.close()
       await loop
       await sender.idle()
     },
   }
 
-  const acks = {
+  const ackSource = {
     capture() {
-      const seq = runs.endsToAck()
-      const capturedLife = lifeStartMs
+      const seq = runs.ackableEndSeq()
+      const capturedStartMs = incarnationStartMs
       return () => {
-        if (capturedLife === lifeStartMs) ackedSeq = Math.max(ackedSeq, seq)
+        if (capturedStartMs === incarnationStartMs) ackedSeq = Math.max(ackedSeq, seq)
       }
     },
   }
-  progress.addSource(acks)
-  const loop = run()
+  progress.addSource(ackSource)
+  const loop = syncUntilClosed()
   return agent
 }
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one agent for each target of a service: opens it when the list of targets or the
- * predecessor's roster names the target, and closes it when all on the target is dead.
+ * Keeps one agent for each target of a service. Opens it when the list of targets or the
+ * roster of the previous owner names the target, and closes it once no run can be left there.
  */
 import type { TargetList } from '../directory/index.js'
 import type { JobBook } from '../jobs/index.js'
@@ -20,25 +20,29 @@
 import type { TargetAgent } from './types.js'
 import type { Tickets } from './tickets.js'
 
-/** Follows the targets of one service. */
+/** Opens and closes the agents of the targets of one service. */
 export interface TargetFollower {
-  /** Opens agents for the targets of the predecessor's roster, not listed until they are. */
+  /** Opens agents for the targets of the previous owner's roster, as not listed yet. */
   inherit(entries: InheritedEntry[]): void
-  /** Follows the list: opens agents for new targets, notes those that leave. */
+  /** Applies the list: opens agents for new targets and notes targets that have left. */
   follow(): void
-  /** Opens agents again for lives that the list shows for longer than it shows those that are over. */
+  /**
+   * Opens agents again for incarnations that were taken for gone but have stayed listed for
+   * longer than {@link MAX_LISTED_AFTER_END_MS}.
+   */
   reopen(): void
 }
 
 /**
- * Time for which the list shows a life that is over at most, in ms: three heartbeats, and some. One
- * that it shows for longer lives: its end was concluded from an entry that another writer had spoilt.
+ * Longest time for which the list shows an incarnation after its end, in ms: a little over three
+ * heartbeats. One listed for longer is alive: it was taken for gone because another writer had
+ * corrupted its entry.
  */
-const SHOWN_AFTER_END_MS = 8000
+const MAX_LISTED_AFTER_END_MS = 8000
 
-/** What the follower works with. */
+/** Dependencies and callbacks of the follower. */
 export interface TargetFollowerOptions {
-  /** Agents by id of their target; the follower adds and removes. */
+  /** Agents by id of their target; the follower adds and removes entries. */
   agents: Map<string, TargetAgent>
   targets: TargetList
   orders: TargetOrders
@@ -52,68 +56,72 @@
   isolation: Isolation
   startWindow: StartWindow
   log: Logger
-  /** Room, state or reports of a target have changed. */
+  /** Called when the free room, the state or the reports of a target have changed. */
   changed(): void
 }
 
-/** Creates the follower; it opens nothing yet. */
+/** Creates the follower, which opens no agents yet. */
 export function createTargetFollower(opts: TargetFollowerOptions): TargetFollower {
   const { agents, targets, authority, roster, health, log } = opts
   const { service } = authority
-  /** Lives that are over as far as is known, by id, while the list still shows the id. */
-  const goneLives = new Map<string, GoneLife>()
-  /** Bump of the token that the next life of an id starts with. */
-  const nextBumps = new Map<string, number>()
+  /** Incarnations taken for gone, by id, while the list still shows the id. */
+  const goneIncarnations = new Map<string, GoneIncarnation>()
+  /** Token offsets that the next agents start with, by id of the target. */
+  const nextTokenOffsets = new Map<string, number>()
 
-  /** Targets of the predecessor's roster. */
-  const inherited = new Set<string>()
+  /** Ids of the targets in the previous owner's roster. */
+  const inheritedIds = new Set<string>()
 
-  /** Time that unknown runs of the predecessor may last, in ms. */
+  /** Longest time for which unknown runs of the previous owner can go on, in ms. */
   const inheritedLeaseMs =
     (authority.predecessorMayLive ? GRACE_MS : 0) +
     TASK_LEASE_MS * (1 + CLOCK_SKEW) +
     LEASE_MARGIN_MS
 
-  function forget(agent: TargetAgent): void {
+  function removeAgent(agent: TargetAgent): void {
     const { id } = agent.target
     agents.delete(id)
-    goneLives.set(id, { key: lifeKey(agent.target), at: monotonicMs() })
-    nextBumps.set(id, agent.bump() + 1)
+    goneIncarnations.set(id, {
+      key: incarnationKey(agent.target),
+      detectedAt: monotonicMs(),
+    })
+    nextTokenOffsets.set(id, agent.tokenOffset() + 1)
     health.forget(agent)
     roster.remove(id)
     void agent.close()
   }
 
-  /** Whether it is called at an address that the list has corrected, and nothing is there. */
-  function isMisplaced(agent: TargetAgent, { address }: Target): boolean {
+  /** Whether the agent calls an address that the list has corrected since, and has no runs. */
+  function hasStaleAddress(agent: TargetAgent, { address }: Target): boolean {
     const { target, placements } = agent
     return target.address !== address && !agent.isAnswering() && placements.size === 0
   }
 
-  /** Whether the list shows a later life under the id, at an address that it does not call. */
+  /** Whether the list shows a later incarnation, at an address that the agent does not call. */
   function isReplaced(agent: TargetAgent, { address, lifeStartMs }: Target): boolean {
     const { target } = agent
-    const isLaterLife = target.lifeStartMs !== 0 && target.lifeStartMs < lifeStartMs
-    return isLaterLife && target.address !== address && !agent.isAnswering()
+    const isLaterIncarnation =
+      target.lifeStartMs !== 0 && target.lifeStartMs < lifeStartMs
+    return isLaterIncarnation && target.address !== address && !agent.isAnswering()
   }
 
-  /** Closes an agent that has nothing to do; the life may well be alive elsewhere. */
-  function closeMisplaced(agent: TargetAgent): void {
+  /** Closes an agent without runs. The target may be alive, so it does not count as gone. */
+  function closeIdleAgent(agent: TargetAgent): void {
     agents.delete(agent.target.id)
     health.forget(agent)
     void agent.close()
   }
 
-  /** Whether runs of the predecessor, or of a closed agent of ours, may be there. */
-  const mayHaveRuns = (id: string): boolean => inherited.has(id) || roster.has(id)
+  /** Whether runs of the previous owner, or of an agent closed since, may be on the target. */
+  const mayHaveRuns = (id: string): boolean => inheritedIds.has(id) || roster.has(id)
 
   /**
-   * Opens the agent of a target of the roster. Without an address it stays silent, until the
-   * list tells one, no VM has the life any more, or all that may run there is over.
+   * Opens the agent of a target in the roster. Without an address the target counts as silent
+   * until the list shows its address, no VM has its id any more, or all leases have expired.
    */
   function openInherited({ id, address }: InheritedEntry): void {
-    inherited.add(id)
-    open(unlistedTarget(id, address ?? '', service)).listed = false
+    inheritedIds.add(id)
+    open(createUnlistedTarget(id, address ?? '', service)).listed = false
   }
 
   function open(target: Target): TargetAgent {
@@ -124,18 +132,18 @@
       authority,
       progress: opts.progress,
       startWindow: opts.startWindow,
-      initialBump: nextBumps.get(target.id) ?? 0,
+      initialTokenOffset: nextTokenOffsets.get(target.id) ?? 0,
       inheritedLeaseMs: mayHaveRuns(target.id) ? inheritedLeaseMs : 0,
       log,
       changed: opts.changed,
-      ticketRefused: (step, id) => opts.tickets.drop(step, id),
+      ticketRefused: (step, id) => opts.tickets.discard(step, id),
       ended(each, task, kind) {
         if (kind === 'done') opts.runTimes.note(task, monotonicMs() - task.startedAt)
         health.noteEnd(each, task, kind)
       },
       restarted: health.forget,
       crashed: opts.isolation.noteCrash,
-      gone: forget,
+      gone: removeAgent,
     })
     agents.set(target.id, agent)
     return agent
@@ -144,15 +152,18 @@
   function followListed(target: Target): void {
     const known = agents.get(target.id)
     if (known && isReplaced(known, target))
-      return known.markGone('another life is listed under its id')
-    if (known && isMisplaced(known, target)) closeMisplaced(known)
+      return known.markGone('a later incarnation is listed')
+    if (known && hasStaleAddress(known, target)) closeIdleAgent(known)
     const agent = agents.get(target.id)
     if (agent) {
       agent.update(target)
       agent.listed = true
-      // One whose inherited row could not be read has none that a successor could use.
+      // If its inherited row could not be read, the roster has none for the next owner.
       roster.add(target)
-    } else if (!target.draining && goneLives.get(target.id)?.key !== lifeKey(target)) {
+    } else if (
+      !target.draining &&
+      goneIncarnations.get(target.id)?.key !== incarnationKey(target)
+    ) {
       open(target)
       roster.add(target)
     }
@@ -167,8 +178,8 @@
     })
   }
 
-  /** Whether the list has an entry of the life, be it one that cannot be read. */
-  const isShown = (id: string): boolean =>
+  /** Whether the list has an entry under the id, readable or not. */
+  const isInList = (id: string): boolean =>
     targets.byId().has(id) || targets.unreadableSince(id) !== undefined
 
   function follow(): void {
@@ -176,15 +187,16 @@
     for (const target of listed.values()) {
       if (target.service === service) followListed(target)
     }
-    for (const id of goneLives.keys()) if (!isShown(id)) goneLives.delete(id)
-    for (const id of nextBumps.keys())
-      if (!isShown(id) && !agents.has(id)) nextBumps.delete(id)
+    for (const id of goneIncarnations.keys())
+      if (!isInList(id)) goneIncarnations.delete(id)
+    for (const id of nextTokenOffsets.keys())
+      if (!isInList(id) && !agents.has(id)) nextTokenOffsets.delete(id)
     for (const agent of agents.values()) {
       const entry = listed.get(agent.target.id)
       if (agent.listed && entry?.service !== service) noteUnlisted(agent)
-      // Its own owner must not be fenced by our calls.
-      const isOthers = entry !== undefined && entry.service !== service
-      if (isOthers && agent.placements.size === 0) closeMisplaced(agent)
+      // Calls with this owner's token could fence the owner that the target now belongs to.
+      const isOfOtherService = entry !== undefined && entry.service !== service
+      if (isOfOtherService && agent.placements.size === 0) closeIdleAgent(agent)
     }
     opts.changed()
   }
@@ -193,26 +205,29 @@
     inherit: (entries) => entries.forEach(openInherited),
     reopen() {
       const now = monotonicMs()
-      const shown = [...goneLives].filter(([, { at }]) => now - at > SHOWN_AFTER_END_MS)
-      for (const [id] of shown) goneLives.delete(id)
-      if (shown.length > 0) follow()
+      const stillListed = [...goneIncarnations].filter(
+        ([, { detectedAt }]) => now - detectedAt > MAX_LISTED_AFTER_END_MS,
+      )
+      for (const [id] of stillListed) goneIncarnations.delete(id)
+      if (stillListed.length > 0) follow()
     },
     follow,
   }
 }
 
-/** A life that is over as far as is known. */
-interface GoneLife {
+/** An incarnation that was taken for gone. */
+interface GoneIncarnation {
   key: string
-  /** Steady time at which that was found out, in ms. */
-  at: number
+  /** Monotonic time at which it was taken for gone, in ms. */
+  detectedAt: number
 }
 
-/** Distinguishes lives that have the same id. */
-const lifeKey = ({ lifeStartMs, address }: Target): string => `${lifeStartMs} ${address}`
+/** Distinguishes incarnations under the same id. */
+const incarnationKey = ({ lifeStartMs, address }: Target): string =>
+  `${lifeStartMs} ${address}`
 
-/** A target that only the roster names; nothing is known of its size. */
-function unlistedTarget(id: string, address: string, service: string): Target {
+/** Creates a target that only the roster names; its capacity is unknown, so it is 0. */
+function createUnlistedTarget(id: string, address: string, service: string): Target {
   const capacity = { cpu: 0, memMb: 0, gpu: 0 }
   return {
     id,
--- a/src/scheduler/targetLease.ts
+++ b/src/scheduler/targetLease.ts
@@ -1,6 +1,7 @@
 /**
- * Lease of everything that runs on one target. It is given on the target's clock, which
- * is estimated from its answers; when it is over for certain is counted on our own.
+ * Lease of all runs on one target. Its end is sent as a time of the target's clock, which is
+ * estimated from answers. Its expiry is tracked on the owner's monotonic clock, with a margin
+ * for a target's clock that runs slow.
  */
 import { monotonicMs } from '../shared/index.js'
 import {
@@ -13,50 +14,53 @@
 
 /** The lease of one target. */
 export interface TargetLease {
-  /** Takes note of the target's clock, as an answer tells it. */
+  /** Records the target's clock from an answer, in ms. */
   noteClock(clockMs: number): void
   /**
-   * Starts over with the clock of another life of the target. Orders with a lease end on the
-   * clock of the earlier life may have reached it, so the longest lease is assumed.
+   * Starts over with the clock of another incarnation, in ms. Orders whose lease ends on the
+   * clock of the earlier one may have reached it, so the longest lease is assumed.
    */
   reset(clockMs: number): void
-  /** End of a lease that begins now, on the target's clock; undefined before it is known. */
+  /**
+   * Extends the lease from now on and returns its end on the target's clock, in ms; undefined
+   * while that clock is unknown.
+   */
   extend(): number | undefined
-  /** Whether every lease that was given is over, also on a clock that is slow. */
-  isOver(): boolean
-  /** Steady time at which that is so, in ms. */
-  overAt(): number
+  /** Whether every lease granted so far has expired, even on a slow target's clock. */
+  isExpired(): boolean
+  /** Monotonic time at which every lease granted so far has expired, in ms. */
+  expiresAt(): number
 }
 
 /**
- * Creates the lease.
- * @param inheritedMs time that unknown runs of the predecessor may last
+ * Creates the lease of one target.
+ * @param inheritedMs longest time for which unknown runs of the previous owner can go on, in ms
  */
 export function createTargetLease(inheritedMs: number): TargetLease {
   let clock: { clockMs: number; at: number } | undefined
-  let overAt = monotonicMs() + inheritedMs
+  let expiresAt = monotonicMs() + inheritedMs
 
   return {
     noteClock(clockMs) {
       const now = monotonicMs()
-      const expected = clock ? clock.clockMs + (now - clock.at) : -Infinity
-      if (clockMs >= expected || now - (clock?.at ?? 0) > SYNC_WAIT_MS) {
+      const expectedMs = clock ? clock.clockMs + (now - clock.at) : -Infinity
+      if (clockMs >= expectedMs || now - (clock?.at ?? 0) > SYNC_WAIT_MS) {
         clock = { clockMs, at: now }
       }
     },
     reset(clockMs) {
       const now = monotonicMs()
       clock = { clockMs, at: now }
-      overAt = now + MAX_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      expiresAt = now + MAX_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
     },
     extend() {
       if (!clock) return undefined
       const now = monotonicMs()
-      const lasts = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
-      overAt = Math.max(overAt, now + lasts)
+      const durationMs = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      expiresAt = Math.max(expiresAt, now + durationMs)
       return Math.floor(clock.clockMs + (now - clock.at) + TASK_LEASE_MS)
     },
-    isOver: () => monotonicMs() >= overAt,
-    overAt: () => overAt,
+    isExpired: () => monotonicMs() >= expiresAt,
+    expiresAt: () => expiresAt,
   }
 }
--- a/src/scheduler/targetSilence.ts
+++ b/src/scheduler/targetSilence.ts
@@ -1,39 +1,42 @@
-/** Whether a target answers, and for how long it has not. */
+/** Tracks whether a target answers, and for how long it has not answered. */
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 
-/** The silence of one target. */
+/** Answering state of one target. */
 export interface TargetSilence {
   isAnswering(): boolean
-  /** Calls of which the first was sent at this steady time, in ms, went unanswered. */
-  missed(sentAt: number): void
-  /** It counts as silent from now on. */
-  begin(reason: string): void
   /**
-   * It has answered.
-   * @param ends ends of runs that came with the answer
-   * @returns how long it had not answered, in ms
+   * Notes unanswered calls.
+   * @param sentAt monotonic time of the first of them, in ms
    */
-  end(ends: number): number
+  noteMissed(sentAt: number): void
+  /** Marks the target as silent. */
+  markSilent(reason: string): void
+  /**
+   * Marks the target as answering.
+   * @param ends number of ended runs in the answer
+   * @returns time for which it had not answered, in ms
+   */
+  markAnswering(ends: number): number
 }
 
-/** A target that answers until the contrary is seen. */
+/** Creates the state of a target, which counts as answering until it is marked as silent. */
 export function createTargetSilence(targetId: string, log: Logger): TargetSilence {
-  let answering = true
+  let isAnswering = true
   let missedSince: number | undefined
 
   return {
-    isAnswering: () => answering,
-    missed: (sentAt) => void (missedSince ??= sentAt),
-    begin(reason) {
-      if (answering) log.event('targetSilent', { target: targetId, reason })
-      answering = false
+    isAnswering: () => isAnswering,
+    noteMissed: (sentAt) => void (missedSince ??= sentAt),
+    markSilent(reason) {
+      if (isAnswering) log.event('targetSilent', { target: targetId, reason })
+      isAnswering = false
     },
-    end(ends) {
+    markAnswering(ends) {
       const silentMs = missedSince === undefined ? 0 : monotonicMs() - missedSince
       const fields = { target: targetId, silentMs: Math.round(silentMs), ends }
-      if (!answering) log.event('targetAnswers', fields)
-      answering = true
+      if (!isAnswering) log.event('targetAnswers', fields)
+      isAnswering = true
       missedSince = undefined
       return silentMs
     },
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -1,6 +1,7 @@
 /**
- * Permissions of the advice service, for queues whose policy lets a step run only on some
- * targets. One call per step at a time; tickets are reused while they hold.
+ * Fetches and caches tickets, the permissions of the advice service to start a step on a target.
+ * They are needed for queues whose policy restricts the targets of a step. Each step has at most
+ * one request in flight; its tickets are reused while they are valid.
  */
 import type { Step } from '../jobs/index.js'
 import type { Advice } from '../ports/index.js'
@@ -8,44 +9,54 @@
 import type { Logger } from '../shared/index.js'
 import type { TargetAgent } from './types.js'
 
-/** Targets named in one call: the platform counts a call on 30 as usual. */
-const CANDIDATES = 30
-/** A ticket is not used when it holds for less than this, in ms: about an order's way. */
-const MIN_LEFT_MS = 150
-/** Pause after a call that failed, in ms. */
+/** Largest number of targets in one request; the platform regards 30 as usual. */
+const MAX_CANDIDATES = 30
+/** Least remaining validity of a ticket in use, in ms: about the time that an order takes. */
+const MIN_VALID_MS = 150
+/** Pause after a failed request, in ms. */
 const RETRY_MS = 300
 
+/** Tickets of all steps. */
 export interface Tickets {
-  /** Ticket for a start; undefined when the target may not be used, or not yet. */
+  /** Ticket for a start; undefined while there is none, or if the target is not permitted. */
   find(step: Step, agent: TargetAgent): string | undefined
-  /** Asks for a step that waits, if nothing is known that holds. */
+  /** Requests tickets for a waiting step, unless the last answer is still valid. */
   want(step: Step, agents: TargetAgent[]): void
-  /** A target did not accept the ticket. */
-  drop(step: Step, targetId: string): void
+  /** Discards a ticket that the target refused. */
+  discard(step: Step, targetId: string): void
 }
 
+/** Last answer of the advice service for a step. */
 interface StepAdvice {
+  /** Tickets by target id. */
   tickets: Map<string, string>
+  /** Monotonic time until which the answer is valid, in ms; after a failure, end of the pause. */
   validUntil: number
-  asking: boolean
+  isRequesting: boolean
 }
 
+/** Creates an empty cache. */
+
 export function createTickets(opts: {
   advice: Advice | undefined
   log: Logger
-  /** New tickets have come. */
+  /** Called when new tickets have arrived. */
   changed(): void
 }): Tickets {
   const { advice, log } = opts
-  const known = new WeakMap<Step, StepAdvice>()
+  const adviceByStep = new WeakMap<Step, StepAdvice>()
 
-  async function ask(step: Step, state: StepAdvice, ids: string[]): Promise<void> {
+  async function requestTickets(
+    step: Step,
+    state: StepAdvice,
+    ids: string[],
+  ): Promise<void> {
     if (!advice) return log.event('adviceMissing', { job: step.job.spec.id })
-    state.asking = true
+    state.isRequesting = true
     const name = `${step.job.spec.id}.${step.occurrence}.${step.index}`
     const sentAt = monotonicMs()
     const res = await advice.ask(name, ids)
-    state.asking = false
+    state.isRequesting = false
     if (res.isErr()) {
       log.event('adviceFailed', { step: name, reason: describeError(res.error) })
       state.validUntil = monotonicMs() + RETRY_MS
@@ -65,24 +76,24 @@
 
   return {
     find(step, agent) {
-      const state = known.get(step)
-      if (!state || state.validUntil - monotonicMs() < MIN_LEFT_MS) return undefined
+      const state = adviceByStep.get(step)
+      if (!state || state.validUntil - monotonicMs() < MIN_VALID_MS) return undefined
       return state.tickets.get(agent.target.id)
     },
     want(step, agents) {
-      const state = known.get(step) ?? {
+      const state = adviceByStep.get(step) ?? {
         tickets: new Map(),
         validUntil: 0,
-        asking: false,
+        isRequesting: false,
       }
-      known.set(step, state)
-      if (state.asking || state.validUntil - monotonicMs() >= MIN_LEFT_MS) return
+      adviceByStep.set(step, state)
+      if (state.isRequesting || state.validUntil - monotonicMs() >= MIN_VALID_MS) return
       const candidates = agents.filter(
         (agent) => agent.isUsable() && agent.room.fits(step),
       )
-      const ids = candidates.slice(0, CANDIDATES).map(({ target }) => target.id)
-      if (ids.length > 0) void ask(step, state, ids)
+      const ids = candidates.slice(0, MAX_CANDIDATES).map(({ target }) => target.id)
+      if (ids.length > 0) void requestTickets(step, state, ids)
     },
-    drop: (step, targetId) => void known.get(step)?.tickets.delete(targetId),
+    discard: (step, targetId) => void adviceByStep.get(step)?.tickets.delete(targetId),
   }
 }
