--- a/src/scheduler/__tests__/finishedJobs.spec.ts
+++ b/src/scheduler/__tests__/finishedJobs.spec.ts
@@ -22,7 +22,7 @@
 import { FINISHED_WAIT_MS } from '../constants.js'
 
 /** Time after which the rows of a finished job have moved, in ms. */
-const MOVED_MS = 2 * FINISHED_WAIT_MS + 1000
+const MOVE_DELAY_MS = 2 * FINISHED_WAIT_MS + 1000
 
 /** What callers of a node reach, with the offers that it makes. */
 function startFront(table: ReturnType<typeof createRowTable>) {
@@ -56,7 +56,7 @@
 /** The same once the rows of the job have moved. */
 async function startWithEnded() {
   const started = await startWithSettled()
-  await sleep(MOVED_MS)
+  await sleep(MOVE_DELAY_MS)
   return started
 }
 
@@ -112,7 +112,7 @@
     const { rig, owner, job } = await startWithSettled()
     owner.live = false
     await rig.own()
-    await sleep(MOVED_MS)
+    await sleep(MOVE_DELAY_MS)
     t.deepEqual(rig.table.rows(INTAKE_TABLE), [])
     t.deepEqual(rig.table.rows(PROGRESS_TABLE), [])
     t.is(rig.outcomeOf(job), 'completed')
@@ -125,7 +125,7 @@
     const key = { table: PROGRESS_TABLE, part: SERVICE, key: '00000000000000ff' }
     rig.table.put(key, JSON.stringify(progress))
     await rig.own()
-    await sleep(MOVED_MS)
+    await sleep(MOVE_DELAY_MS)
     t.deepEqual(rig.table.rows(PROGRESS_TABLE), [])
     await rig.stop()
   })
@@ -133,10 +133,10 @@
   it('stay while the store refuses, and move when it is back', async (t) => {
     const { rig, job } = await startWithSettled()
     rig.table.faults.refusedParts.add(intakeKey(job.queue, job.id).part)
-    await sleep(MOVED_MS)
+    await sleep(MOVE_DELAY_MS)
     t.is(rig.table.rows(INTAKE_TABLE).length, 1)
     rig.table.faults.refusedParts.clear()
-    await sleep(MOVED_MS)
+    await sleep(MOVE_DELAY_MS)
     t.is(rig.table.rows(INTAKE_TABLE).length, 0)
     await rig.stop()
   })
--- a/src/scheduler/__tests__/foreignRows.spec.ts
+++ b/src/scheduler/__tests__/foreignRows.spec.ts
@@ -21,7 +21,7 @@
 const { targets: documents } = platformDocuments
 const TARGETS = ['t1', 't2', 't3']
 /** Time between two entries of a target that nobody disturbs, in ms. */
-const BEAT_MS = 250
+const ENTRY_INTERVAL_MS = 250
 /** Time after which an owner has surely read a changed entry, in ms. */
 const READ_MS = 1000
 
@@ -44,44 +44,44 @@
 }
 
 /** A rig whose targets write their entries themselves, until it is stopped. */
-async function startWorld() {
+async function startRig() {
   const rig = createJobRig((store, log) => createTargetList({ store, documents, log }))
   /** Entries of another writer, with the steady time of the writing. */
-  const disturbed = new Map<string, { text: string; at: number }>()
+  const overwritten = new Map<string, { text: string; at: number }>()
   const problems: string[] = []
-  const beat = (): void => {
+  const writeEntries = (): void => {
     for (const id of TARGETS) {
-      if (!disturbed.has(id)) rig.table.put(entryKey(id), entryOf(id))
+      if (!overwritten.has(id)) rig.table.put(entryKey(id), entryOf(id))
     }
   }
-  const timer = setInterval(beat, BEAT_MS)
+  const timer = setInterval(writeEntries, ENTRY_INTERVAL_MS)
   for (const id of TARGETS) rig.addTarget(id)
-  beat()
+  writeEntries()
   await sleep(READ_MS)
 
   /** Whether a task was started on the target while its entry did not name it. */
   function check(id: string): void {
-    const each = disturbed.get(id)
-    if (!each || namesTarget(id, each.text)) return
-    const since = each.at + READ_MS
+    const entry = overwritten.get(id)
+    if (!entry || namesTarget(id, entry.text)) return
+    const since = entry.at + READ_MS
     const wrong = rig.ledger.entries.find(
       ({ what, target, at }) => what === 'start' && target === id && at > since,
     )
     if (wrong)
-      problems.push(`${wrong.task} on ${id}, listed as ${each.text.slice(0, 200)}`)
+      problems.push(`${wrong.task} on ${id}, listed as ${entry.text.slice(0, 200)}`)
   }
 
   return {
     rig,
     problems,
-    disturb(id: string, text: string) {
+    overwriteEntry(id: string, text: string) {
       check(id)
-      disturbed.set(id, { text, at: monotonicMs() })
+      overwritten.set(id, { text, at: monotonicMs() })
       rig.table.put(entryKey(id), text)
     },
-    leaveAlone(id: string) {
+    releaseEntry(id: string) {
       check(id)
-      disturbed.delete(id)
+      overwritten.delete(id)
     },
     stop() {
       clearInterval(timer)
@@ -90,7 +90,7 @@
   }
 }
 
-const submitSome = (rig: JobRig, owner: Awaited<ReturnType<JobRig['own']>>): JobSpec[] =>
+const submitJobs = (rig: JobRig, owner: Awaited<ReturnType<JobRig['own']>>): JobSpec[] =>
   [0, 1, 2, 3].map((each) => {
     const steps = each % 2 ? [{ count: 3 }, { count: 2, after: [0] }] : [{ count: 4 }]
     const job = makeJob({ ms: 60 + each * 50, cpu: 400 }, steps)
@@ -99,21 +99,21 @@
   })
 
 /** What is wrong at the end, undefined when nothing is. */
-async function judge(rig: JobRig, jobs: JobSpec[]): Promise<string | undefined> {
+async function findProblem(rig: JobRig, jobs: JobSpec[]): Promise<string | undefined> {
   if (!(await rig.settled(jobs, 25_000))) {
     const open = jobs
       .filter((job) => rig.outcomeOf(job) === undefined)
       .map(({ id }) => id)
-    const told = rig.log.events.filter(({ fields }) =>
+    const events = rig.log.events.filter(({ fields }) =>
       open.some((id) => JSON.stringify(fields).includes(id)),
     )
-    return `jobs are not settled: ${JSON.stringify({ open, told })}`
+    return `jobs are not settled: ${JSON.stringify({ open, told: events })}`
   }
   const bad = jobs.find((job) => rig.outcomeOf(job) !== 'completed')
   if (bad) return `${bad.id} ended ${rig.outcomeOf(bad)}`
-  const lines = rig.log.events.filter(({ name }) => name === 'rowInvalid')
-  const long = lines.find(({ fields }) => JSON.stringify(fields).length > 1200)
-  if (long) return `a line of ${JSON.stringify(long).length} characters`
+  const invalidRows = rig.log.events.filter(({ name }) => name === 'rowInvalid')
+  const tooLong = invalidRows.find(({ fields }) => JSON.stringify(fields).length > 1200)
+  if (tooLong) return `a line of ${JSON.stringify(tooLong).length} characters`
   return findBrokenPromise(rig.ledger)
 }
 
@@ -129,22 +129,22 @@
 )
 type EntryStep = typeof entrySteps extends fc.Arbitrary<infer T> ? T : never
 
-async function playEntries(steps: EntryStep): Promise<string | undefined> {
-  const world = await startWorld()
-  const { rig } = world
+async function runEntryScenario(steps: EntryStep): Promise<string | undefined> {
+  const fixture = await startRig()
+  const { rig } = fixture
   const owner = await rig.own()
-  const jobs = submitSome(rig, owner)
+  const jobs = submitJobs(rig, owner)
   for (const { target, text, key, waitMs } of steps) {
     const id = TARGETS[target]!
-    world.disturb(id, text)
+    fixture.overwriteEntry(id, text)
     if (!TARGETS.includes(key)) rig.table.put(entryKey(key), text)
-    jobs.push(...submitSome(rig, owner))
+    jobs.push(...submitJobs(rig, owner))
     await sleep(waitMs)
-    if (waitMs % 3 > 0) world.leaveAlone(id)
+    if (waitMs % 3 > 0) fixture.releaseEntry(id)
   }
-  for (const id of TARGETS) world.leaveAlone(id)
-  const problem = world.problems[0] ?? (await judge(rig, jobs))
-  await world.stop()
+  for (const id of TARGETS) fixture.releaseEntry(id)
+  const problem = fixture.problems[0] ?? (await findProblem(rig, jobs))
+  await fixture.stop()
   return problem
 }
 
@@ -160,7 +160,7 @@
 type RowStep = typeof rowSteps extends fc.Arbitrary<infer T> ? T : never
 
 /** Spoils rows; returns what puts those back that nobody has written since. */
-function spoil(rig: JobRig, jobs: JobSpec[], steps: RowStep): () => void {
+function corruptRows(rig: JobRig, jobs: JobSpec[], steps: RowStep): () => void {
   const rows = [
     ...jobs.map((job) => intakeKey(job.queue, job.id)),
     ...jobs.map((job) => progressKey(SERVICE, job.id)),
@@ -186,22 +186,22 @@
   }
 }
 
-async function playRows(steps: RowStep): Promise<string | undefined> {
-  const world = await startWorld()
-  const { rig } = world
+async function runRowScenario(steps: RowStep): Promise<string | undefined> {
+  const fixture = await startRig()
+  const { rig } = fixture
   const first = await rig.own()
-  const jobs = submitSome(rig, first)
+  const jobs = submitJobs(rig, first)
   await sleep(150 + (steps[0]!.row % 5) * 60)
   first.live = false
   await first.stop(false)
-  const mend = spoil(rig, jobs, steps)
+  const restoreRows = corruptRows(rig, jobs, steps)
   const second = await rig.own()
-  jobs.push(...submitSome(rig, second))
+  jobs.push(...submitJobs(rig, second))
   await sleep(2500)
   const early = findBrokenPromise(rig.ledger)
-  mend()
-  const problem = early ?? (await judge(rig, jobs))
-  await world.stop()
+  restoreRows()
+  const problem = early ?? (await findProblem(rig, jobs))
+  await fixture.stop()
   return problem
 }
 
@@ -216,7 +216,7 @@
 describe('another writer', () => {
   it('makes no owner use a target that its entry does not name, nor lose a job', async (t) => {
     const scenarios = fc.sample(entrySteps, { seed: SEED, numRuns: RUNS })
-    const results = await Promise.all(scenarios.map(playEntries))
+    const results = await Promise.all(scenarios.map(runEntryScenario))
     for (const [index, problem] of results.entries()) {
       t.is(problem, undefined, describeSteps(scenarios[index]!))
     }
@@ -224,7 +224,7 @@
 
   it('makes no successor lose a job or do a task twice', async (t) => {
     const scenarios = fc.sample(rowSteps, { seed: SEED, numRuns: RUNS })
-    const results = await Promise.all(scenarios.map(playRows))
+    const results = await Promise.all(scenarios.map(runRowScenario))
     for (const [index, problem] of results.entries()) {
       t.is(problem, undefined, describeSteps(scenarios[index]!))
     }
--- a/src/scheduler/__tests__/lateOwner.spec.ts
+++ b/src/scheduler/__tests__/lateOwner.spec.ts
@@ -19,14 +19,14 @@
 /** Time of a call of the store as a late process sees it, in ms. */
 const CALL_MS = 250
 /** Other queues with open jobs; each makes parts that a whole reading goes through. */
-const OTHER_QUEUES = 8
-const PARTS = 8
+const OTHER_QUEUE_COUNT = 8
+const PARTS_PER_QUEUE = 8
 /** Time within which the owner knows what the store has, in ms: the platform allows 3 s. */
 const KNOWN_MS = 2500
 
 function fillIntake({ table }: JobRig): void {
-  for (let queue = 0; queue < OTHER_QUEUES; queue++) {
-    for (let part = 0; part < PARTS; part++) {
+  for (let queue = 0; queue < OTHER_QUEUE_COUNT; queue++) {
+    for (let part = 0; part < PARTS_PER_QUEUE; part++) {
       const job = makeJob({ ms: 100 }, undefined, { service: 'other' })
       const row = { ...job, id: `${job.id}${part}`, queue: `other-${queue}` }
       table.put(intakeKey(row.queue, row.id), encodeJob(row))
@@ -41,13 +41,13 @@
 }
 
 /** The store forgets its history, which has something new. */
-function forgetHistory({ table }: JobRig): void {
+function compactHistory({ table }: JobRig): void {
   table.put({ table: 'any', part: '', key: 'row' }, 'new')
   table.compact()
 }
 
 /** An owner whose store has just forgotten its history, and whose entries are not heard. */
-async function withLateOwner(
+async function withSlowStore(
   use: (rig: JobRig, owner: RigOwner) => Promise<void>,
 ): Promise<void> {
   const rig = createJobRig()
@@ -64,13 +64,13 @@
 
 describe('owner whose store has forgotten its history', () => {
   it('stops what is cancelled while it reads the intake', async (t) => {
-    await withLateOwner(async (rig, owner) => {
+    await withSlowStore(async (rig, owner) => {
       const job = makeJob({ ms: 20_000, cpu: 1000 }, [{ count: 2 }])
       rig.submit(owner, job)
       const { entries } = rig.ledger
       t.true(await until(() => entries.length === 2, KNOWN_MS))
       rig.table.put(cancelKey(job.queue, job.id), '{}')
-      forgetHistory(rig)
+      compactHistory(rig)
       t.true(await until(() => entries.length === 4, KNOWN_MS))
       t.deepEqual(
         entries.slice(2).map(({ what }) => what),
@@ -80,8 +80,8 @@
   })
 
   it('starts what is accepted while it reads the intake', async (t) => {
-    await withLateOwner(async (rig) => {
-      forgetHistory(rig)
+    await withSlowStore(async (rig) => {
+      compactHistory(rig)
       await sleep(1200)
       const job = makeJob({ ms: 20_000, cpu: 1000 }, [{ count: 2 }], { queue: 'a' })
       rig.table.put(intakeKey(job.queue, job.id), encodeJob(job))
@@ -90,12 +90,12 @@
   })
 
   it('finds what came with the history that was lost, also after failed calls', async (t) => {
-    await withLateOwner(async (rig) => {
+    await withSlowStore(async (rig) => {
       const { table, ledger, log } = rig
       const job = makeJob({ ms: 20_000, cpu: 1000 }, [{ count: 2 }])
       const key = intakeKey(job.queue, job.id)
       table.put(key, encodeJob(job))
-      forgetHistory(rig)
+      compactHistory(rig)
       table.faults.delayMs = 0
       table.faults.refusedParts.add(key.part)
       await sleep(1200)
--- a/src/scheduler/__tests__/ownerTakeover.spec.ts
+++ b/src/scheduler/__tests__/ownerTakeover.spec.ts
@@ -5,7 +5,7 @@
 import { sleep } from '../../shared/index.js'
 import { NOTHING_TO_EMPTY } from '../../vms/index.js'
 
-const unused = (): never => {
+const failIfCalled = (): never => {
   throw new Error('not used in this test')
 }
 
@@ -39,7 +39,7 @@
     it('starts nothing before the owner of the fleet has heard of it', async (t) => {
       const rig = createJobRig()
       rig.addTarget('t1')
-      rig.cloud = { list: async () => ok([]), move: unused, maintain: unused }
+      rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
       const owner = await rig.own()
       const job = makeJob({ ms: 20, cpu: 400 })
       rig.submit(owner, job)
@@ -73,7 +73,7 @@
   it('does not wait for leases of a life that no VM has any more', async (t) => {
     const rig = createJobRig()
     const lost = rig.addTarget('t1')
-    rig.cloud = { list: async () => ok([]), move: unused, maintain: unused }
+    rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
     const owner = await rig.own()
     owner.evacuate(NOTHING_TO_EMPTY)
     rig.submit(owner, makeJob({ ms: 0, cpu: 400 }, [{ count: 1 }]))
--- a/src/scheduler/__tests__/roster.spec.ts
+++ b/src/scheduler/__tests__/roster.spec.ts
@@ -40,9 +40,9 @@
   return { roster, table, commits: () => commits, stop: () => stopping.abort() }
 }
 
-async function waitFor(isSo: () => boolean): Promise<boolean> {
-  for (let each = 0; each < 300 && !isSo(); each++) await sleep(20)
-  return isSo()
+async function waitFor(condition: () => boolean): Promise<boolean> {
+  for (let each = 0; each < 300 && !condition(); each++) await sleep(20)
+  return condition()
 }
 
 describe('createRoster', () => {
--- a/src/scheduler/__tests__/takeover.spec.ts
+++ b/src/scheduler/__tests__/takeover.spec.ts
@@ -26,15 +26,15 @@
   const reading = createPartsReading({
     store,
     service: SERVICE,
-    unread: createUnreadRows(createMemoryLogger(), INTAKE_TABLE),
-    comesFirst: (queue) => first.includes(queue),
+    unreadableRows: createUnreadRows(createMemoryLogger(), INTAKE_TABLE),
+    isReadFirst: (queue) => first.includes(queue),
     handler: {
       job: ({ id }) => void ids.push(id),
       cancel: () => undefined,
-      unreadable: () => undefined,
+      unreadableJob: () => undefined,
       partsRead: () => undefined,
     },
-    pace: async () => undefined,
+    throttle: async () => undefined,
   })
   return { reading, ids }
 }
@@ -64,7 +64,7 @@
       }
       const version = (await intakeVersion(store))._unsafeUnwrap()
       const { reading, ids } = startParts(store)
-      t.true((await reading.next()).isOk())
+      t.true((await reading.resume()).isOk())
       const changes = await direct.changes(INTAKE_TABLE, version, 0)
       const later = changes._unsafeUnwrap().changes.map(({ key }) => key)
       const known = [...ids, ...later]
@@ -87,9 +87,9 @@
       },
     }
     const { reading, ids } = startParts(store)
-    t.true((await reading.next()).isErr())
+    t.true((await reading.resume()).isErr())
     table.faults.refusedParts.clear()
-    t.true((await reading.next()).isOk())
+    t.true((await reading.resume()).isOk())
     t.deepEqual(ids.sort(), jobs.map(({ id }) => id).sort())
     const counts = reads.filter((part) => part !== 'queue/3' && part !== '')
     t.is(new Set(counts).size, counts.length)
@@ -102,7 +102,7 @@
     for (const job of [...others, ...own])
       table.put(intakeKey(job.queue, job.id), encodeJob(job))
     const { reading, ids } = startParts(table.forNode('n'), [QUEUE.name])
-    await reading.next()
+    await reading.resume()
     t.deepEqual(ids.slice(0, own.length).sort(), own.map(({ id }) => id).sort())
     t.is(ids.length, own.length + others.length)
   })
--- a/src/scheduler/__tests__/takeoverReading.spec.ts
+++ b/src/scheduler/__tests__/takeoverReading.spec.ts
@@ -18,25 +18,25 @@
 import { QUEUES_TABLE } from '../queueRows.js'
 
 /** Time within which something that waits for nothing has begun, in ms: the users' own limit. */
-const BEGUN_MS = 3000
+const START_LIMIT_MS = 3000
 
 const partOf = (job: JobSpec): string => intakeKey(job.queue, job.id).part
 
-const put = ({ table }: JobRig, job: JobSpec): number =>
+const putJob = ({ table }: JobRig, job: JobSpec): number =>
   table.put(intakeKey(job.queue, job.id), encodeJob(job))
 
 const startsOf = ({ ledger }: JobRig, job: JobSpec): number =>
   ledger.entries.filter(({ what, task }) => what === 'start' && task.startsWith(job.id))
     .length
 
-async function until(check: () => boolean, ms = BEGUN_MS): Promise<boolean> {
+async function until(check: () => boolean, ms = START_LIMIT_MS): Promise<boolean> {
   const endsAt = performance.now() + ms
   while (!check() && performance.now() < endsAt) await sleep(20)
   return check()
 }
 
 /** A job whose tasks run on `t1`, and whose owner is gone. */
-async function leaveRunning(rig: JobRig, ms: number): Promise<JobSpec> {
+async function leaveRunningJob(rig: JobRig, ms: number): Promise<JobSpec> {
   rig.addTarget('t1')
   const first = await rig.own()
   const job = makeJob({ ms, cpu: 1000 })
@@ -52,14 +52,14 @@
     const rig = createJobRig()
     rig.addTarget('t1')
     const [known, missing] = [makeJob({ ms: 100 }), makeJob({ ms: 100 })]
-    put(rig, known)
-    put(rig, missing)
+    putJob(rig, known)
+    putJob(rig, missing)
     rig.table.faults.refusedParts.add(partOf(missing))
     await rig.beginOwning()
     t.true(await until(() => startsOf(rig, known) === 2))
     t.is(startsOf(rig, missing), 0)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([known, missing], BEGUN_MS))
+    t.true(await rig.settled([known, missing], START_LIMIT_MS))
     await rig.stop()
   })
 
@@ -67,20 +67,20 @@
     const rig = createJobRig()
     rig.addTarget('t1')
     const [missing, later] = [makeJob({ ms: 100 }), makeJob({ ms: 100 })]
-    put(rig, missing)
+    putJob(rig, missing)
     rig.table.faults.refusedParts.add(partOf(missing))
     await rig.beginOwning()
     await sleep(300)
-    put(rig, later)
+    putJob(rig, later)
     t.true(await until(() => startsOf(rig, later) === 2))
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([missing, later], BEGUN_MS))
+    t.true(await rig.settled([missing, later], START_LIMIT_MS))
     await rig.stop()
   })
 
   it('lets a run go on whose job it has not read, and starts it no second time', async (t) => {
     const rig = createJobRig()
-    const job = await leaveRunning(rig, 2500)
+    const job = await leaveRunningJob(rig, 2500)
     rig.table.faults.refusedParts.add(partOf(job))
     await rig.beginOwning()
     await sleep(1500)
@@ -95,7 +95,7 @@
 
   it('leaves ends of jobs that it has not read to its successor', async (t) => {
     const rig = createJobRig()
-    const job = await leaveRunning(rig, 600)
+    const job = await leaveRunningJob(rig, 600)
     const { part } = intakeKey(job.queue, job.id)
     rig.table.faults.refusedParts.add(part)
     const second = await rig.beginOwning()
@@ -112,13 +112,13 @@
 
   it('places nothing beside runs whose room it does not know', async (t) => {
     const rig = createJobRig()
-    const job = await leaveRunning(rig, 4000)
+    const job = await leaveRunningJob(rig, 4000)
     // Two tasks of 1,000 run there, of the 4,000 that it has: three more do not fit.
     const next = makeJob({ ms: 100, cpu: 1000 }, [{ count: 4 }])
     rig.table.faults.refusedParts.add(partOf(job))
     await rig.beginOwning()
     await sleep(300)
-    put(rig, next)
+    putJob(rig, next)
     await sleep(1500)
     t.is(startsOf(rig, next), 0)
     rig.table.faults.refusedParts.clear()
@@ -158,7 +158,7 @@
     await rig.beginOwning()
     await sleep(500)
     // Written anew, as an owner does with a row that was spoilt: it is not a new job.
-    put(rig, job)
+    putJob(rig, job)
     await sleep(1500)
     rig.table.faults.refusedParts.clear()
     t.true(await rig.settled([job], 6000))
@@ -197,7 +197,7 @@
   it('is not said before all of the queue are known', async (t) => {
     const rig = createJobRig()
     const job = makeJob({ ms: 100 })
-    put(rig, job)
+    putJob(rig, job)
     rig.table.faults.refusedParts.add(partOf(job))
     const owner = await rig.beginOwning()
     await sleep(500)
@@ -215,7 +215,7 @@
     rig.submit(owner, job)
     t.true(await until(() => owner.waiting(job.queue) === 1))
     rig.table.faults.down = true
-    put(rig, makeJob({ ms: 100 }))
+    putJob(rig, makeJob({ ms: 100 }))
     await sleep(4500)
     t.is(owner.waiting(job.queue), undefined)
     rig.table.faults.down = false
--- a/src/scheduler/__tests__/unreadableRows.spec.ts
+++ b/src/scheduler/__tests__/unreadableRows.spec.ts
@@ -20,14 +20,14 @@
   rig.ledger.entries.flatMap(({ what, task }) => (what === 'done' ? task : []))
 
 /** Whether a line of the kind tells of the key. */
-const tells = ({ log }: JobRig, name: string, key: string): boolean =>
+const hasEvent = ({ log }: JobRig, name: string, key: string): boolean =>
   log.events.some(
     (each) =>
       each.name === name && (each.fields['key'] === key || each.fields['job'] === key),
   )
 
 /** A rig whose owner is gone, with a job of which the first of two steps is done. */
-async function startHalfDone() {
+async function startWithHalfDoneJob() {
   const rig = createJobRig()
   rig.addTarget('t1')
   rig.addTarget('t2')
@@ -51,7 +51,7 @@
 }
 
 /** Replaces a row by a text, and gives back what it was. */
-function spoil(rig: JobRig, key: RowKey, text = '{"done":7}'): string {
+function corruptRow(rig: JobRig, key: RowKey, text = '{"done":7}'): string {
   const before = rig.table.get(key)!.value
   rig.table.put(key, text)
   return before
@@ -62,8 +62,8 @@
 describe('progress that cannot be read', () => {
   // The new owner took the job for one that had not begun, and ran all of it again.
   it('holds its job, which runs nothing anew and is shown as not over', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     const other = makeJob({ ms: 30, cpu: 400 })
     const owner = await rig.own()
     rig.submit(owner, other)
@@ -72,14 +72,14 @@
     for (const task of firstStep(job)) t.is(startsOf(rig, task), 1, task)
     t.is(owner.status(job.id), undefined)
     t.is(rig.outcomeOf(job), undefined)
-    t.true(tells(rig, 'rowInvalid', job.id))
-    t.true(tells(rig, 'jobHeld', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'jobHeld', job.id))
     await rig.stop()
   })
 
   it('is used once it can be read again', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    const before = spoil(rig, key)
+    const { rig, job, key } = await startWithHalfDoneJob()
+    const before = corruptRow(rig, key)
     await rig.own()
     await sleep(1200)
     rig.table.put(key, before)
@@ -91,8 +91,8 @@
   })
 
   it('has its job begin anew when it is removed by hand', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     await rig.own()
     await sleep(1200)
     rig.table.remove(key)
@@ -102,8 +102,8 @@
   })
 
   it('does not keep its job from being cancelled', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     const owner = await rig.own()
     await sleep(300)
     t.true(owner.cancel(job.id))
@@ -116,13 +116,13 @@
 describe('row of a job that cannot be read', () => {
   // Its progress was removed as that of a job that is over: read again, it ran anew.
   it('keeps the progress, and the job goes on once it can be read', async (t) => {
-    const { rig, job, key } = await startHalfDone()
+    const { rig, job, key } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
-    spoil(rig, intake, '\uFFFD')
+    corruptRow(rig, intake, '\uFFFD')
     await rig.own()
     await sleep(7500)
     t.truthy(rig.table.get(key))
-    t.true(tells(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
     rig.table.put(intake, encodeJob(job))
     t.true(await rig.settled([job], 14_000))
     t.is(rig.outcomeOf(job), 'completed')
@@ -132,9 +132,9 @@
   })
 
   it('runs nothing of a job that was cancelled meanwhile', async (t) => {
-    const { rig, job } = await startHalfDone()
+    const { rig, job } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
-    spoil(rig, intake, 'null')
+    corruptRow(rig, intake, 'null')
     rig.table.put(cancelKey(job.queue, job.id), '{}')
     const startsBefore = startsOf(rig, `${job.id}.0.1.0`)
     await rig.own()
@@ -156,12 +156,12 @@
     rig.submit(owner, job)
     await sleep(100)
     for (const text of ['null', '\uFFFD']) {
-      spoil(rig, key, text)
+      corruptRow(rig, key, text)
       await sleep(1500)
       t.is(rig.table.get(key)?.value, encodeJob(job), text)
     }
-    t.true(tells(rig, 'rowInvalid', job.id))
-    t.true(tells(rig, 'rowRestored', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'rowRestored', job.id))
     t.true(await rig.settled([job], 6000))
     t.is(rig.outcomeOf(job), 'completed')
     t.is(findBrokenPromise(rig.ledger), undefined)
@@ -187,7 +187,7 @@
 
 describe('row of the roster that cannot be read', () => {
   /** A target out of reach with a run on it, whose row in the roster is spoilt. */
-  async function startCut(spoilt: string, listed: boolean) {
+  async function startWithUnreachableTarget(spoilt: string, listed: boolean) {
     const rig = createJobRig()
     const cut = rig.addTarget('t1')
     const first = await rig.own()
@@ -199,7 +199,7 @@
     first.live = false
     if (!listed) rig.unlist('t1')
     rig.addTarget('t2')
-    spoil(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, spoilt)
+    corruptRow(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, spoilt)
     return { rig, job }
   }
 
@@ -208,7 +208,7 @@
     for (const text of ['{}', '\uFFFD', '{"address":"t1:70000"}']) {
       const where = listed ? 'that is listed' : 'that is not listed'
       it(`lets no inherited task start early, of a target ${where}: ${text}`, async (t) => {
-        const { rig, job } = await startCut(text, listed)
+        const { rig, job } = await startWithUnreachableTarget(text, listed)
         await rig.own()
         await sleep(2000)
         t.deepEqual(
@@ -223,7 +223,7 @@
   }
 
   it('is removed once all that may run there is over', async (t) => {
-    const { rig, job } = await startCut('{}', false)
+    const { rig, job } = await startWithUnreachableTarget('{}', false)
     await rig.own()
     t.true(await rig.settled([job], 15_000))
     await sleep(500)
--- a/src/scheduler/finishedJobs.ts
+++ b/src/scheduler/finishedJobs.ts
@@ -37,7 +37,7 @@
   /** The job's outcome is durable. */
   add(job: Job): void
   /** Progress rows of jobs that the intake does not have any more. */
-  addLeftover(ids: string[]): void
+  addOrphanedProgress(ids: string[]): void
   stop(): Promise<void>
 }
 
@@ -51,8 +51,8 @@
 }
 
 /** Something that waits until enough of its kind can share a write. */
-interface Waiting<T> {
-  each: T
+interface Queued<T> {
+  item: T
   since: number
 }
 
@@ -60,7 +60,7 @@
   Date.now() - endedAtMs > KEEP_FINISHED_MS
 
 /** Whether a write is worth while: there is enough for it, or some has waited for long. */
-function isDue(group: Waiting<unknown>[]): boolean {
+function isDue(group: Queued<unknown>[]): boolean {
   const [oldest] = group
   if (oldest === undefined) return false
   return (
@@ -69,14 +69,14 @@
 }
 
 /** A job that is over, with the row that is kept of it. */
-interface Finished {
+interface FinishedJob {
   id: string
   queue: string
   ended: EndedJob
 }
 
 /** Undefined while the outcome is not durable. */
-function finishedOf({ spec, durableOutcome, endedAtMs }: Job): Finished | undefined {
+function finishedOf({ spec, durableOutcome, endedAtMs }: Job): FinishedJob | undefined {
   if (!durableOutcome) return undefined
   const { id, queue, service, steps, acceptedAtMs } = spec
   const tasks = steps.reduce((sum, { count }) => sum + count, 0)
@@ -94,18 +94,18 @@
   const { store, service, authority, book, log } = opts
   const stopping = createStopController()
   const startedAt = monotonicMs()
-  const unread = createUnreadRows(log, ENDED_TABLE)
+  const unreadableRows = createUnreadRows(log, ENDED_TABLE)
   /** Jobs whose rows are still in the intake, by part of the store. */
-  const toMove = new Map<string, Waiting<Finished>[]>()
+  const pendingMoves = new Map<string, Queued<FinishedJob>[]>()
   /** Jobs whose progress rows are not needed any more. */
-  let toDrop: Waiting<string>[] = []
+  let pendingRemovals: Queued<string>[] = []
   /** Jobs of this owner whose rows have moved, the first to end first. */
-  const moved: Finished[] = []
+  const moved: FinishedJob[] = []
   /** Parts in which predecessors may have left rows; undefined before they are listed. */
   let inheritedParts: string[] | undefined
 
   /** What could not be done is tried again at a later step. */
-  const noteFailure = (error: PlatformError): void =>
+  const logFailure = (error: PlatformError): void =>
     log.event('rowsNotCleared', { service, reason: describeError(error) })
 
   /**
@@ -118,17 +118,17 @@
     conditions = [] as ReturnType<Authority['epoch']>[],
   ): Promise<boolean> {
     const res = await store.commit({ conditions, puts, removals })
-    if (res.isErr()) noteFailure(res.error)
+    if (res.isErr()) logFailure(res.error)
     return res.isOk() && res.value.committed
   }
 
   /** Moves the rows of the part in which most wait. */
-  async function moveSome(): Promise<void> {
-    const due = [...toMove].filter(([, group]) => isDue(group))
+  async function moveBatch(): Promise<void> {
+    const due = [...pendingMoves].filter(([, group]) => isDue(group))
     const fullest = due.sort(([, a], [, b]) => b.length - a.length)[0]
     if (!fullest) return
     const [part, group] = fullest
-    const jobs = group.slice(0, MOVES_PER_WRITE).map(({ each }) => each)
+    const jobs = group.slice(0, MOVES_PER_WRITE).map(({ item }) => item)
     const puts = jobs.map(({ queue, id, ended }) => ({
       ...endedKey(queue, id),
       value: encodeEnded(ended),
@@ -139,26 +139,26 @@
     ])
     if (!(await commit(puts, removals))) return
     group.splice(0, jobs.length)
-    if (group.length === 0) toMove.delete(part)
+    if (group.length === 0) pendingMoves.delete(part)
     moved.push(...jobs)
     const since = monotonicMs()
-    toDrop.push(...jobs.map(({ id }) => ({ each: id, since })))
+    pendingRemovals.push(...jobs.map(({ id }) => ({ item: id, since })))
   }
 
   /**
    * Removes progress rows, never before the job has left the intake: without its progress
    * a successor would take the job for one that has not begun.
    */
-  async function dropSome(): Promise<void> {
-    if (!isDue(toDrop)) return
-    const some = toDrop.slice(0, REMOVALS_PER_WRITE)
-    const removals = some.map(({ each }) => progressKey(service, each))
+  async function removeProgressBatch(): Promise<void> {
+    if (!isDue(pendingRemovals)) return
+    const batch = pendingRemovals.slice(0, REMOVALS_PER_WRITE)
+    const removals = batch.map(({ item }) => progressKey(service, item))
     const done = await commit([], removals, [authority.epoch()])
-    if (done) toDrop = toDrop.slice(some.length)
+    if (done) pendingRemovals = pendingRemovals.slice(batch.length)
   }
 
   /** Forgets the first job that nobody asks for any more. */
-  async function clearOldest(): Promise<void> {
+  async function removeOldest(): Promise<void> {
     const [oldest] = moved
     if (!oldest || !isOutdated(oldest.ended.endedAtMs)) return
     const { queue, id } = oldest
@@ -168,36 +168,36 @@
   }
 
   /** Clears what predecessors have left, a part at a time, once all of it is outdated. */
-  async function clearInherited(): Promise<void> {
+  async function removeInherited(): Promise<void> {
     if (monotonicMs() - startedAt < KEEP_FINISHED_MS) return
     if (!inheritedParts) {
       const parts = await store.parts(ENDED_TABLE)
-      if (parts.isErr()) return noteFailure(parts.error)
+      if (parts.isErr()) return logFailure(parts.error)
       inheritedParts = parts.value
     }
     const part = inheritedParts[0]
     if (part === undefined) return
     const rows = await store.read(ENDED_TABLE, part)
-    if (rows.isErr()) return noteFailure(rows.error)
+    if (rows.isErr()) return logFailure(rows.error)
     const outdated = rows.value.rows.filter(({ key, value }) => {
       const ended = decodeEnded(value)
       // Its age is not known: a caller may still ask, and is not told that there is no job.
-      if (!ended) unread.note(key, 'it stays until it is removed by hand')
+      if (!ended) unreadableRows.note(key, 'it stays until it is removed by hand')
       return ended !== undefined && isOutdated(ended.endedAtMs)
     })
-    const some = outdated.slice(0, REMOVALS_PER_WRITE)
-    if (some.length > 0 && !(await commit([], some))) return
-    if (some.length === outdated.length) inheritedParts.shift()
+    const batch = outdated.slice(0, REMOVALS_PER_WRITE)
+    if (batch.length > 0 && !(await commit([], batch))) return
+    if (batch.length === outdated.length) inheritedParts.shift()
   }
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       await sleep(FINISHED_STEP_MS, stopping.signal)
       if (stopping.signal.aborted || !authority.isConfirmed()) continue
-      await moveSome()
-      await dropSome()
-      await clearOldest()
-      await clearInherited()
+      await moveBatch()
+      await removeProgressBatch()
+      await removeOldest()
+      await removeInherited()
     }
   }
   const task = run()
@@ -207,13 +207,13 @@
       const finished = finishedOf(job)
       if (!finished) return
       const { part } = intakeKey(finished.queue, finished.id)
-      const group = toMove.get(part) ?? []
-      group.push({ each: finished, since: monotonicMs() })
-      toMove.set(part, group)
+      const group = pendingMoves.get(part) ?? []
+      group.push({ item: finished, since: monotonicMs() })
+      pendingMoves.set(part, group)
     },
-    addLeftover(ids) {
+    addOrphanedProgress(ids) {
       const since = monotonicMs()
-      toDrop.push(...ids.map((each) => ({ each, since })))
+      pendingRemovals.push(...ids.map((item) => ({ item, since })))
     },
     async stop() {
       stopping.abort()
--- a/src/scheduler/heldJobs.ts
+++ b/src/scheduler/heldJobs.ts
@@ -35,7 +35,7 @@
   /** Holds a job; without `spec` the row of the job itself cannot be read. */
   hold(id: string, spec?: JobSpec): void
   /** The row of a job can be read; false when the job is not held. */
-  learn(spec: JobSpec): boolean
+  updateSpec(spec: JobSpec): boolean
   /** False when the job is not held, or cannot be told from one that has not come yet. */
   cancel(id: string): boolean
   /** The row of a job is gone. */
@@ -61,20 +61,20 @@
   /** By id; undefined while the row of the job itself cannot be read. */
   const held = new Map<string, JobSpec | undefined>()
   /** Jobs that were taken on, with the steady time at which their tasks may start, in ms. */
-  const opening = new Map<Job, number>()
+  const gateOpensAt = new Map<Job, number>()
 
   /** Takes the job on; its tasks wait until the targets have told what runs of it. */
-  function takeOn(spec: JobSpec, row: StoredRow | undefined): void {
+  function admit(spec: JobSpec, row: StoredRow | undefined): void {
     const progress = row && decodeProgress(row.value)
     held.delete(spec.id)
     const known = progress && row ? { progress, version: row.version } : {}
     const job = book.add(spec, { ...known, gated: true })
-    opening.set(job, monotonicMs() + RUNS_KNOWN_MS)
+    gateOpensAt.set(job, monotonicMs() + RUNS_KNOWN_MS)
     log.event('jobTaken', { job: spec.id, queue: spec.queue, service })
   }
 
   /** Looks whether the progress of the job can be read, or is not there any more. */
-  async function look(spec: JobSpec): Promise<void> {
+  async function checkProgress(spec: JobSpec): Promise<void> {
     const { part, key } = progressKey(service, spec.id)
     const rows = await store.read(PROGRESS_TABLE, part, keyRange(key))
     if (rows.isErr()) {
@@ -83,37 +83,37 @@
     }
     const row = rows.value.rows[0]
     const isReadable = row === undefined || decodeProgress(row.value) !== undefined
-    if (isReadable && held.has(spec.id)) takeOn(spec, row)
+    if (isReadable && held.has(spec.id)) admit(spec, row)
   }
 
   /** The next jobs to look at; they go to the end, so that each has its turn. */
-  function nextToLook(): JobSpec[] {
-    const some = [...held.values()].flatMap((spec) => spec ?? []).slice(0, HELD_READS)
-    for (const spec of some) {
+  function nextToCheck(): JobSpec[] {
+    const batch = [...held.values()].flatMap((spec) => spec ?? []).slice(0, HELD_READS)
+    for (const spec of batch) {
       held.delete(spec.id)
       held.set(spec.id, spec)
     }
-    return some
+    return batch
   }
 
   /** Lets the tasks of jobs start that were taken on a while ago. */
-  function openDue(): void {
-    for (const [job, at] of opening) {
+  function openDueGates(): void {
+    for (const [job, at] of gateOpensAt) {
       if (monotonicMs() < at) continue
-      opening.delete(job)
+      gateOpensAt.delete(job)
       book.openGate(job)
     }
   }
 
   /** The gate opens for all jobs that wait at it: none may be added a moment before. */
-  const mayTakeOn = (): boolean => authority.isConfirmed() && opts.isGateOpen()
+  const mayAdmit = (): boolean => authority.isConfirmed() && opts.isGateOpen()
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       await sleep(HELD_LOOK_MS, stopping.signal)
-      if (stopping.signal.aborted || !mayTakeOn()) continue
-      for (const spec of nextToLook()) await look(spec)
-      openDue()
+      if (stopping.signal.aborted || !mayAdmit()) continue
+      for (const spec of nextToCheck()) await checkProgress(spec)
+      openDueGates()
     }
   }
   const task = run()
@@ -124,7 +124,7 @@
       book.hold(id)
       if (spec) log.event('jobHeld', { job: id, queue: spec.queue, service })
     },
-    learn(spec) {
+    updateSpec(spec) {
       if (!held.has(spec.id)) return false
       held.set(spec.id, spec)
       return true
--- a/src/scheduler/inheritedJobs.ts
+++ b/src/scheduler/inheritedJobs.ts
@@ -21,17 +21,17 @@
   /** Whether all of them have been read. */
   isComplete(): boolean
   /** Whether a job that was not read yet came to the predecessor. */
-  concerns(job: JobSpec): boolean
+  isInherited(job: JobSpec): boolean
   /** Adopts a job; its tasks wait until the predecessor's targets have been heard. */
-  take(job: JobSpec): void
+  adopt(job: JobSpec): void
   /** The row of a job cannot be read: the job is held. */
-  unreadable(id: string): void
+  holdUnreadable(id: string): void
   /** What was taken so far may start. */
   flush(): void
   /** All that may have been started has been read: what runs of other jobs is of no use. */
-  known(): void
+  markKnown(): void
   /** All have been read; what is not known by now is over. */
-  complete(): void
+  markComplete(): void
 }
 
 /** What the adopting of jobs works with. */
@@ -43,14 +43,14 @@
   /** Jobs are in the book now; what runs of them is to be adopted before anything starts. */
   adopted(jobs: readonly Job[]): void
   /** Progress rows of jobs that have left the intake, so that nobody needs them. */
-  leftover(ids: string[]): void
+  orphanedProgress(ids: string[]): void
 }
 
 /** Starts without any job; the book may miss some from now on. */
 export function createInheritedJobs(opts: InheritedJobsOptions): InheritedJobs {
-  const { book, held, progress, progressUnread } = opts
+  const { book, held, progress, unreadableProgress } = opts
   const startedAtMs = Date.now()
-  const seen = new Set<string>()
+  const seenIds = new Set<string>()
   let batch: Job[] = []
   let isComplete = false
   book.mayMissJobs = true
@@ -58,21 +58,21 @@
   return {
     isKnown: () => !book.mayMissJobs,
     isComplete: () => isComplete,
-    concerns({ id, acceptedAtMs }) {
+    isInherited({ id, acceptedAtMs }) {
       if (isComplete) return false
       const isOld = acceptedAtMs < startedAtMs - NEW_JOB_MAX_AGE_MS
-      return isOld || progress.has(id) || progressUnread.has(id)
+      return isOld || progress.has(id) || unreadableProgress.has(id)
     },
-    take(job) {
-      seen.add(job.id)
-      if (book.jobs.has(job.id) || held.learn(job)) return
+    adopt(job) {
+      seenIds.add(job.id)
+      if (book.jobs.has(job.id) || held.updateSpec(job)) return
       // Without its progress it would run anew what is done.
-      if (progressUnread.has(job.id)) return held.hold(job.id, job)
+      if (unreadableProgress.has(job.id)) return held.hold(job.id, job)
       const gated = !opts.isGateOpen()
       batch.push(book.add(job, { ...progress.get(job.id), gated }))
     },
-    unreadable(id) {
-      seen.add(id)
+    holdUnreadable(id) {
+      seenIds.add(id)
       held.hold(id)
     },
     flush() {
@@ -80,11 +80,11 @@
       opts.adopted(batch)
       batch = []
     },
-    known: () => void (book.mayMissJobs = false),
-    complete() {
+    markKnown: () => void (book.mayMissJobs = false),
+    markComplete() {
       if (isComplete) return
       isComplete = true
-      opts.leftover([...progress.keys()].filter((id) => !seen.has(id)))
+      opts.orphanedProgress([...progress.keys()].filter((id) => !seenIds.has(id)))
     },
   }
 }
--- a/src/scheduler/intakeReading.ts
+++ b/src/scheduler/intakeReading.ts
@@ -10,15 +10,15 @@
  * Parts that are read at the same time. Each takes a connection to the store, whose answers
  * share the node's link with the renewals of its lease.
  */
-const READS_AT_ONCE = 4
+const MAX_CONCURRENT_READS = 4
 
 /** A reading that keeps what it has read, so that a try after a failure goes on from there. */
-export interface Reading<T> {
-  next(): Promise<Result<T, PlatformError>>
+export interface ResumableRead<T> {
+  resume(): Promise<Result<T, PlatformError>>
 }
 
 /** The value of a reading that is made at most once. */
-export function once<T>(
+export function cacheSuccess<T>(
   read: () => Promise<Result<T, PlatformError>>,
 ): () => Promise<Result<T, PlatformError>> {
   let known: Result<T, PlatformError> | undefined
@@ -35,7 +35,7 @@
   /** A job of whichever service is to be cancelled. */
   cancel(id: string): void
   /** The row of a job, of whichever service, cannot be read. */
-  unreadable(id: string): void
+  unreadableJob(id: string): void
   /** Some parts have been handed on; the queues of those that are left may have more. */
   partsRead(left: ReadonlySet<string>): void
 }
@@ -53,62 +53,62 @@
 export interface PartsReadingOptions {
   store: RowStore
   service: string
-  unread: UnreadRows
+  unreadableRows: UnreadRows
   /** Whether the parts of a queue are read first. */
-  comesFirst(queue: string): boolean
+  isReadFirst(queue: string): boolean
   handler: IntakeHandler
   /** Waits before some more parts are read; `isFirst` where they are of the first queues. */
-  pace(isFirst: boolean): Promise<void>
+  throttle(isFirst: boolean): Promise<void>
 }
 
 /** Reads the rows of all queues, and hands on what it reads part by part. */
-export function createPartsReading(opts: PartsReadingOptions): Reading<void> {
-  const { store, service, unread, comesFirst, handler, pace } = opts
-  let left: string[] | undefined
-  const isFirst = (part: string): boolean => comesFirst(queueOfPart(part))
+export function createPartsReading(opts: PartsReadingOptions): ResumableRead<void> {
+  const { store, service, unreadableRows, isReadFirst, handler, throttle } = opts
+  let remaining: string[] | undefined
+  const isFirst = (part: string): boolean => isReadFirst(queueOfPart(part))
 
-  function addRow(row: StoredRow): void {
+  function handleRow(row: StoredRow): void {
     const entry = decodeIntake(row, row.value)
     if (entry.kind === 'cancel') return handler.cancel(entry.id)
     if (entry.kind === 'job') {
-      unread.clear(row.key)
+      unreadableRows.clear(row.key)
       if (entry.job.service === service) handler.job(entry.job)
       return
     }
-    unread.note(row.key, entry.reason)
-    handler.unreadable(entry.id)
+    unreadableRows.note(row.key, entry.reason)
+    handler.unreadableJob(entry.id)
   }
 
   /** Reads some of the parts that are left, which become fewer by those that were read. */
-  async function readSome(parts: string[]): Promise<Result<void, PlatformError>> {
-    const some = parts.slice(0, READS_AT_ONCE)
-    await pace(some.some(isFirst))
-    const found = await Promise.all(some.map((part) => store.read(INTAKE_TABLE, part)))
+  async function readBatch(parts: string[]): Promise<Result<void, PlatformError>> {
+    const batch = parts.slice(0, MAX_CONCURRENT_READS)
+    await throttle(batch.some(isFirst))
+    const results = await Promise.all(batch.map((part) => store.read(INTAKE_TABLE, part)))
     let failure: PlatformError | undefined
-    for (const [index, each] of found.entries()) {
-      if (each.isErr()) {
-        failure = each.error
+    for (const [index, res] of results.entries()) {
+      if (res.isErr()) {
+        failure = res.error
         // The others do not wait for it: a part of the store may be away for seconds.
-        parts.push(...parts.splice(parts.indexOf(some[index]!), 1))
+        parts.push(...parts.splice(parts.indexOf(batch[index]!), 1))
         continue
       }
-      for (const row of each.value.rows) addRow(row)
-      parts.splice(parts.indexOf(some[index]!), 1)
+      for (const row of res.value.rows) handleRow(row)
+      parts.splice(parts.indexOf(batch[index]!), 1)
     }
     handler.partsRead(new Set(parts.map(queueOfPart)))
     return failure ? err(failure) : ok(undefined)
   }
 
   return {
-    async next() {
-      if (!left) {
+    async resume() {
+      if (!remaining) {
         const parts = await store.parts(INTAKE_TABLE)
         if (parts.isErr()) return err(parts.error)
         const others = parts.value.filter((part) => !isFirst(part))
-        left = [...parts.value.filter(isFirst), ...others]
+        remaining = [...parts.value.filter(isFirst), ...others]
       }
-      while (left.length > 0) {
-        const read = await readSome(left)
+      while (remaining.length > 0) {
+        const read = await readBatch(remaining)
         if (read.isErr()) return err(read.error)
       }
       return ok(undefined)
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -37,11 +37,11 @@
  * Refused jobs that are remembered at most; callers that come back within seconds are some
  * hundred a queue.
  */
-const MAX_EXPECTED = 5000
+const MAX_EXPECTED_JOBS = 5000
 
 /** Makes room for one more. */
-function forgetOldest(ids: Set<string>): void {
-  if (ids.size < MAX_EXPECTED) return
+function evictOldest(ids: Set<string>): void {
+  if (ids.size < MAX_EXPECTED_JOBS) return
   for (const id of ids) return void ids.delete(id)
 }
 
@@ -60,9 +60,9 @@
   /** False when the job is not known yet; it is cancelled when it comes. */
   cancel(id: string): boolean
   /** Takes on the jobs that came while the ownership was not confirmed. */
-  takeOffered(): void
+  admitDeferred(): void
   /** Jobs of a queue that came while it was not; the book does not have them yet. */
-  offeredOf(queue: string): number
+  countDeferred(queue: string): number
   /** Whether all jobs of a queue are known, but for the newest. */
   knowsAll(queue: string): boolean
   /** Reads what the predecessor has left, and follows the intake from the version on. */
@@ -82,16 +82,16 @@
   /** Queues whose jobs the service gets, as configured now. */
   queues(): string[]
   /** Whether `queueRows` has all queues of which the predecessor may have started jobs. */
-  queuesKnown: boolean
+  hasAllQueueRows: boolean
   /** Rows of the intake that cannot be read. */
-  unread: UnreadRows
+  unreadableRows: UnreadRows
   log: Logger
   /** The row of a job, which the book may have, cannot be read. */
-  spoilt(id: string): void
+  rowUnreadable(id: string): void
   /** A job has been taken on. */
-  taken(): void
+  admitted(): void
   /** More is asked of the service than before. */
-  arrived(): void
+  demandArrived(): void
   /** All that the predecessor may have started is known. */
   inheritedKnown(): void
   /** All that it has left has been read. */
@@ -100,18 +100,28 @@
 
 /** Creates the intake of one owner; nothing is followed yet. */
 export function createNewJobs(opts: NewJobsOptions): NewJobs {
-  const { store, service, authority, book, demand, held, inherited, unread, log } = opts
+  const {
+    store,
+    service,
+    authority,
+    book,
+    demand,
+    held,
+    inherited,
+    unreadableRows,
+    log,
+  } = opts
   const { queueRows } = opts
   /** Jobs that came while the ownership was not confirmed, or the row of their queue missing. */
-  const offered = new Map<string, { job: JobSpec; from: Source }>()
+  const deferred = new Map<string, { job: JobSpec; from: Source }>()
   /** Jobs that were cancelled before they came; of any service, so some never do. */
   const cancelledEarly = new Set<string>()
   /** Up to here all open jobs were read when the service was taken over. */
   let takeoverVersion = 0
   /** Ends the whole reading that is under way. */
-  let wholeReading: AbortController | undefined
+  let fullRead: AbortController | undefined
   /** Queues that the whole reading has still to read; undefined before it knows. */
-  let unreadQueues: ReadonlySet<string> | undefined
+  let remainingQueues: ReadonlySet<string> | undefined
   let mirror: RowMirror | undefined
   /** Steady time at which the first reading began, in ms. */
   let followedAt = -Infinity
@@ -122,12 +132,12 @@
    * Takes a new job on. Out of touch with the store it waits: a successor may have it,
    * and does not wait for this owner with jobs that came after the takeover.
    */
-  function take(job: JobSpec, from: Source): void {
-    if (book.jobs.has(job.id) || held.learn(job)) return
-    if (inherited.concerns(job)) return takeInherited(job)
+  function admit(job: JobSpec, from: Source): void {
+    if (book.jobs.has(job.id) || held.updateSpec(job)) return
+    if (inherited.isInherited(job)) return adoptInherited(job)
     queueRows.add(job.queue)
     if (!authority.isConfirmed() || !queueRows.has(job.queue)) {
-      offered.set(job.id, { job, from })
+      deferred.set(job.id, { job, from })
       return
     }
     const taken = book.add(job)
@@ -135,14 +145,14 @@
     if (cancelledEarly.delete(job.id)) book.cancel(job.id)
     const lateMs = Math.max(0, Date.now() - job.acceptedAtMs)
     log.event('jobTaken', { job: job.id, queue: job.queue, service, from, lateMs })
-    opts.taken()
-    opts.arrived()
+    opts.admitted()
+    opts.demandArrived()
   }
 
   /** Takes a job of the predecessor on, and the request to cancel it if that came before. */
-  function takeInherited(job: JobSpec): void {
+  function adoptInherited(job: JobSpec): void {
     queueRows.add(job.queue)
-    inherited.take(job)
+    inherited.adopt(job)
     if (cancelledEarly.delete(job.id)) cancel(job.id, 'read')
   }
 
@@ -153,12 +163,12 @@
    */
   function expect(job: JobSpec): void {
     if (book.jobs.has(job.id) || expected.has(job.id)) return
-    forgetOldest(expected)
+    evictOldest(expected)
     expected.add(job.id)
     const now = monotonicMs()
     demand.arrived(createJob(job, now), now)
     log.event('jobExpected', { job: job.id, queue: job.queue, service })
-    opts.arrived()
+    opts.demandArrived()
   }
 
   /** A request to cancel may come before the job that it is for; false in that case. */
@@ -175,22 +185,22 @@
   }
 
   function applyRow(part: string, key: string, value: string | undefined): void {
-    if (value === undefined) return forgetRow(part, key)
+    if (value === undefined) return applyRemoval(part, key)
     const entry = decodeIntake({ part, key }, value)
     if (entry.kind === 'cancel') return void cancel(entry.id, 'read')
     if (entry.kind === 'invalid') {
-      unread.note(key, entry.reason)
-      return opts.spoilt(entry.id)
+      unreadableRows.note(key, entry.reason)
+      return opts.rowUnreadable(entry.id)
     }
-    unread.clear(key)
-    if (entry.job.service === service) take(entry.job, 'read')
+    unreadableRows.clear(key)
+    if (entry.job.service === service) admit(entry.job, 'read')
   }
 
   /** A request whose row has been cleared is for no job that may still come. */
-  function forgetRow(part: string, key: string): void {
+  function applyRemoval(part: string, key: string): void {
     const entry = decodeIntake({ part, key }, '')
     if (entry.kind === 'cancel') return void cancelledEarly.delete(entry.id)
-    unread.clear(key)
+    unreadableRows.clear(key)
     held.drop(entry.id)
   }
 
@@ -207,15 +217,15 @@
   }
 
   /** Lets the queues whose parts are left tell whether all that may run is known. */
-  function noteLeft(
-    left: ReadonlySet<string>,
-    comesFirst: (queue: string) => boolean,
+  function updateRemaining(
+    remaining: ReadonlySet<string>,
+    isReadFirst: (queue: string) => boolean,
   ): void {
-    unreadQueues = left
+    remainingQueues = remaining
     inherited.flush()
-    const isKnown = ![...left].some(comesFirst)
+    const isKnown = ![...remaining].some(isReadFirst)
     if (!isKnown || inherited.isKnown()) return
-    inherited.known()
+    inherited.markKnown()
     opts.inheritedKnown()
   }
 
@@ -224,7 +234,7 @@
    * done. Read before the changes, the parts of a busy store kept an owner from hearing of
    * what was accepted and cancelled for 16 s.
    */
-  async function readWhole(signal: AbortSignal): Promise<void> {
+  async function readAll(signal: AbortSignal): Promise<void> {
     const beganAt = monotonicMs()
     let jobs = 0
     let cancels = 0
@@ -232,44 +242,45 @@
       job(job) {
         jobs++
         const isInherited = !inherited.isKnown() && queueRows.has(job.queue)
-        if (isInherited) takeInherited(job)
-        else take(job, 'read')
+        if (isInherited) adoptInherited(job)
+        else admit(job, 'read')
       },
       cancel(id) {
         cancels++
         cancel(id, 'read')
       },
-      unreadable(id) {
-        if (inherited.isComplete() || book.jobs.has(id)) opts.spoilt(id)
-        else inherited.unreadable(id)
+      unreadableJob(id) {
+        if (inherited.isComplete() || book.jobs.has(id)) opts.rowUnreadable(id)
+        else inherited.holdUnreadable(id)
       },
-      partsRead: (left) => noteLeft(left, comesFirst),
+      partsRead: (left) => updateRemaining(left, isReadFirst),
     }
     const isTakeover = !inherited.isComplete()
     const first = new Set([...queueRows.all(), ...opts.queues()])
-    const comesFirst = (queue: string): boolean => !opts.queuesKnown || first.has(queue)
-    async function pace(isFirst: boolean): Promise<void> {
+    const isReadFirst = (queue: string): boolean =>
+      !opts.hasAllQueueRows || first.has(queue)
+    async function throttle(isFirst: boolean): Promise<void> {
       if (isTakeover && !isFirst) await sleep(READ_OTHERS_PAUSE_MS, signal)
       await waitForLease(signal)
     }
     const reading = createPartsReading({
       store,
       service,
-      unread,
-      comesFirst,
+      unreadableRows,
+      isReadFirst,
       handler,
-      pace,
+      throttle,
     })
     while (!signal.aborted) {
-      const res = await reading.next()
+      const res = await reading.resume()
       if (res.isOk()) break
       if (isTakeover)
         log.event('takeoverWaits', { service, reason: describeError(res.error) })
       await sleep(jittered(FLUSH_RETRY_MS), signal)
     }
     if (signal.aborted) return
-    noteLeft(new Set(), comesFirst)
-    inherited.complete()
+    updateRemaining(new Set(), isReadFirst)
+    inherited.markComplete()
     opts.inheritedRead()
     if (isTakeover) return
     const tookMs = Math.round(monotonicMs() - beganAt)
@@ -277,47 +288,47 @@
   }
 
   /** Begins a whole reading; what an earlier one has still to read, this one reads. */
-  function startWhole(): void {
-    wholeReading?.abort()
-    wholeReading = createStopController()
-    unreadQueues = undefined
-    void readWhole(wholeReading.signal)
+  function startFullRead(): void {
+    fullRead?.abort()
+    fullRead = createStopController()
+    remainingQueues = undefined
+    void readAll(fullRead.signal)
   }
 
   /** Begins a whole reading; the version to follow the changes from, undefined on failure. */
-  async function readAgain(): Promise<number | undefined> {
+  async function restartFullRead(): Promise<number | undefined> {
     const version = await intakeVersion(store)
     if (version.isErr()) return undefined
-    startWhole()
+    startFullRead()
     return version.value
   }
 
   return {
     offer(job, rowVersion) {
-      if (rowVersion > takeoverVersion) take(job, 'told')
+      if (rowVersion > takeoverVersion) admit(job, 'told')
     },
     expect,
     cancel: (id) => cancel(id, 'told'),
-    takeOffered() {
+    admitDeferred() {
       if (!authority.isConfirmed()) return
-      const some = [...offered.values()]
-      offered.clear()
-      for (const { job, from } of some) take(job, from)
+      const entries = [...deferred.values()]
+      deferred.clear()
+      for (const { job, from } of entries) admit(job, from)
     },
-    offeredOf(queue) {
-      const jobs = [...offered.values()].map(({ job }) => job)
+    countDeferred(queue) {
+      const jobs = [...deferred.values()].map(({ job }) => job)
       const waiting = jobs.filter(({ id }) => !book.jobs.has(id))
       return waiting.filter((job) => job.queue === queue).length
     },
     knowsAll(queue) {
-      const isRead = unreadQueues !== undefined && !unreadQueues.has(queue)
+      const isRead = remainingQueues !== undefined && !remainingQueues.has(queue)
       const freshAt = Math.max(followedAt, mirror?.freshAt() ?? -Infinity)
       return isRead && monotonicMs() - freshAt < WAITING_FRESH_MS
     },
     follow(version) {
       takeoverVersion = version
       followedAt = monotonicMs()
-      startWhole()
+      startFullRead()
       const changes = createRowMirror({
         store,
         table: INTAKE_TABLE,
@@ -327,15 +338,15 @@
         pauseMs: INTAKE_POLL_MS,
         log,
         onRow: applyRow,
-        onGap: readAgain,
+        onGap: restartFullRead,
       })
       mirror = changes
       return {
         ...changes,
         async stop() {
-          wholeReading?.abort()
+          fullRead?.abort()
           await changes.stop()
-          wholeReading?.abort()
+          fullRead?.abort()
         },
       }
     },
--- a/src/scheduler/progressWriter.ts
+++ b/src/scheduler/progressWriter.ts
@@ -43,12 +43,12 @@
 }
 
 /** The rows of one part by table and key. */
-const byKey = (rows: StoredRow[]): Map<string, StoredRow> =>
+const indexByKey = (rows: StoredRow[]): Map<string, StoredRow> =>
   new Map(rows.map((row) => [`${row.table}/${row.key}`, row]))
 
 /** Whether the rows that stood in the way are what was to be written, by an unanswered write. */
 function isStored(puts: RowTransaction['puts'], current: StoredRow[]): boolean {
-  const rows = byKey(current)
+  const rows = indexByKey(current)
   return puts.every(
     ({ table, key, value }) => rows.get(`${table}/${key}`)?.value === value,
   )
@@ -139,7 +139,7 @@
   /** After a conflict: a write of ours was done. False when another owner's epoch is there. */
   function adoptVersions(jobs: Job[], current: StoredRow[]): boolean {
     if (!authority.adoptEpoch(current)) return false
-    const rows = byKey(current)
+    const rows = indexByKey(current)
     for (const job of jobs) {
       const { table, key } = progressKey(service, job.spec.id)
       job.progressVersion = rows.get(`${table}/${key}`)?.version ?? 0
--- a/src/scheduler/queueRows.ts
+++ b/src/scheduler/queueRows.ts
@@ -39,9 +39,9 @@
 export function createQueueRows(opts: QueueRowsOptions): QueueRows {
   const { store, authority, log } = opts
   const durable = new Set(opts.inherited)
-  const adding = new Set<string>()
-  let running = false
-  let stopped = false
+  const pending = new Set<string>()
+  let isRunning = false
+  let isStopped = false
 
   const key = (queue: string): RowKey => ({
     table: QUEUES_TABLE,
@@ -50,26 +50,26 @@
   })
 
   async function write(): Promise<boolean> {
-    const queues = [...adding]
+    const queues = [...pending]
     const puts = queues.map((queue) => ({ ...key(queue), value: '{}' }))
     const res = await commitUnderEpoch(store, authority, { puts, removals: [] })
     if (res.isErr()) log.event('queuesNotWritten', { reason: describeError(res.error) })
     if (res.isErr() || !res.value) return false
     for (const queue of queues) {
       durable.add(queue)
-      adding.delete(queue)
+      pending.delete(queue)
     }
     opts.added()
     return true
   }
 
   async function run(): Promise<void> {
-    if (running) return
-    running = true
-    while (!stopped && !authority.isLost() && adding.size > 0) {
+    if (isRunning) return
+    isRunning = true
+    while (!isStopped && !authority.isLost() && pending.size > 0) {
       if (!(await write())) await sleep(jittered(FLUSH_RETRY_MS))
     }
-    running = false
+    isRunning = false
   }
 
   return {
@@ -77,9 +77,9 @@
     all: () => durable,
     add(queue) {
       if (durable.has(queue)) return
-      adding.add(queue)
+      pending.add(queue)
       void run()
     },
-    stop: () => void (stopped = true),
+    stop: () => void (isStopped = true),
   }
 }
--- a/src/scheduler/roster.ts
+++ b/src/scheduler/roster.ts
@@ -23,10 +23,10 @@
  * in ms, and writes at the same time: nothing starts on a target before its row is known to be
  * there, and a slow store may answer one write before the other.
  */
-const HEDGE_MS = 400
-const MAX_WRITES = 3
+const HEDGE_DELAY_MS = 400
+const MAX_CONCURRENT_WRITES = 3
 /** Rows per write, of the store's 100 with the epoch's condition. */
-const MAX_BATCH = 90
+const MAX_ROWS_PER_WRITE = 90
 
 const entrySchema = z.object({ address: addressSchema })
 
@@ -66,15 +66,15 @@
   added(): void
 }): Roster {
   const { store, authority, log } = opts
-  const isRead = ({ address }: InheritedEntry): boolean => address !== undefined
-  const durable = new Set(opts.entries.filter(isRead).map(({ id }) => id))
-  const unread = new Set(
+  const isReadable = ({ address }: InheritedEntry): boolean => address !== undefined
+  const durable = new Set(opts.entries.filter(isReadable).map(({ id }) => id))
+  const unreadable = new Set(
     opts.entries.map(({ id }) => id).filter((id) => !durable.has(id)),
   )
   const adding = new Map<string, RosterEntry>()
   const removing = new Set<string>()
-  let running = false
-  let stopped = false
+  let isRunning = false
+  let isStopped = false
 
   const key = (id: string): RowKey => ({
     table: ROSTER_TABLE,
@@ -83,8 +83,8 @@
   })
 
   async function writeOnce(removals: readonly string[] = []): Promise<boolean> {
-    const added = [...adding.values()].slice(0, MAX_BATCH)
-    const removed = removals.slice(0, MAX_BATCH - added.length)
+    const added = [...adding.values()].slice(0, MAX_ROWS_PER_WRITE)
+    const removed = removals.slice(0, MAX_ROWS_PER_WRITE - added.length)
     const puts = added.map(({ id, address }) => ({
       ...key(id),
       value: JSON.stringify({ address }),
@@ -108,23 +108,23 @@
    */
   async function write(): Promise<boolean> {
     const writes = [writeOnce([...removing])]
-    while (adding.size > 0 && writes.length < MAX_WRITES) {
-      const done = await Promise.race([...writes, sleep(HEDGE_MS)])
+    while (adding.size > 0 && writes.length < MAX_CONCURRENT_WRITES) {
+      const done = await Promise.race([...writes, sleep(HEDGE_DELAY_MS)])
       if (done !== undefined) return done
-      if (adding.size > 0 && !stopped) writes.push(writeOnce())
+      if (adding.size > 0 && !isStopped) writes.push(writeOnce())
     }
     return Promise.race(writes)
   }
 
   async function run(): Promise<void> {
-    if (running) return
-    running = true
+    if (isRunning) return
+    isRunning = true
     // Targets come in groups: wait a turn so that one write carries them all.
     await sleep(0)
-    while (!stopped && (adding.size > 0 || removing.size > 0)) {
+    while (!isStopped && (adding.size > 0 || removing.size > 0)) {
       if (!(await write())) await sleep(jittered(FLUSH_RETRY_MS))
     }
-    running = false
+    isRunning = false
   }
 
   return {
@@ -135,11 +135,11 @@
       void run()
     },
     remove(id) {
-      const isThere = durable.delete(id) || unread.delete(id)
-      if (!isThere) return
+      const hadRow = durable.delete(id) || unreadable.delete(id)
+      if (!hadRow) return
       removing.add(id)
       void run()
     },
-    stop: () => void (stopped = true),
+    stop: () => void (isStopped = true),
   }
 }
--- a/src/scheduler/rowRestorer.ts
+++ b/src/scheduler/rowRestorer.ts
@@ -30,11 +30,11 @@
 export function createRowRestorer(opts: RowRestorerOptions): RowRestorer {
   const { store, authority, book, log } = opts
   const stopping = createStopController()
-  const spoilt = new Set<string>()
+  const unreadable = new Set<string>()
   let running: Promise<void> | undefined
 
   /** Writes the row over the one that cannot be read, and over no other; true when done. */
-  async function restoreOne({ spec }: Job): Promise<boolean> {
+  async function restoreRow({ spec }: Job): Promise<boolean> {
     const key = intakeKey(spec.queue, spec.id)
     const found = await store.read(key.table, key.part, keyRange(key.key))
     if (found.isErr()) return false
@@ -56,10 +56,10 @@
   }
 
   async function run(): Promise<void> {
-    while (spoilt.size > 0 && !stopping.signal.aborted && !authority.isLost()) {
-      for (const id of [...spoilt]) {
+    while (unreadable.size > 0 && !stopping.signal.aborted && !authority.isLost()) {
+      for (const id of [...unreadable]) {
         const job = book.jobs.get(id)
-        if (!job || (await restoreOne(job))) spoilt.delete(id)
+        if (!job || (await restoreRow(job))) unreadable.delete(id)
       }
       await sleep(jittered(FLUSH_RETRY_MS), stopping.signal)
     }
@@ -69,7 +69,7 @@
   return {
     restore(id) {
       if (!book.jobs.has(id)) return
-      spoilt.add(id)
+      unreadable.add(id)
       running ??= run()
     },
     async stop() {
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -40,7 +40,7 @@
 import { createRunTimes } from './runTimes.js'
 import { createStartWindow } from './startWindow.js'
 import { createStarter } from './starter.js'
-import { readInheritedUntilDone, tellsAllQueues } from './takeover.js'
+import { hasAllQueueRows, readInheritedUntilDone } from './takeover.js'
 import type { TargetAgent } from './types.js'
 import { createTargetFollower } from './targetFollower.js'
 import { createTickets } from './tickets.js'
@@ -103,8 +103,8 @@
   const allAgents = (): TargetAgent[] => [...agents.values()]
   let gateOpen = false
   let fleetAnswered = false
-  let markRead: () => void = () => undefined
-  const inheritedRead = new Promise<void>((resolve) => (markRead = resolve))
+  let resolveInheritedRead: () => void = () => undefined
+  const inheritedRead = new Promise<void>((resolve) => (resolveInheritedRead = resolve))
   const startedAt = monotonicMs()
 
   const wake = createPaced(plan, PLAN_GAP_MS)
@@ -160,7 +160,7 @@
   })
   const tickets = createTickets({ advice: opts.advice, log, changed: wake })
   const lifeCheck = createLifeCheck(opts.cloud, log)
-  const unread = createUnreadRows(log, INTAKE_TABLE)
+  const unreadableRows = createUnreadRows(log, INTAKE_TABLE)
   const isGateOpen = (): boolean => gateOpen
   const held = createHeldJobs({ store, service, authority, book, log, isGateOpen })
   const restorer = createRowRestorer({ store, authority, book, log })
@@ -177,14 +177,14 @@
       for (const agent of allAgents()) agent.adoptKnown()
       wake()
     },
-    leftover: finished.addLeftover,
+    orphanedProgress: finished.addOrphanedProgress,
   })
   const queueRows = createQueueRows({
     store,
     authority,
     inherited: inherited.queues,
     log,
-    added: () => newJobs.takeOffered(),
+    added: () => newJobs.admitDeferred(),
   })
   const newJobs = createNewJobs({
     store,
@@ -196,15 +196,15 @@
     inherited: inheritedJobs,
     queueRows,
     queues: () => queuesOf(configuration, service),
-    queuesKnown: tellsAllQueues(inherited),
-    unread,
+    hasAllQueueRows: hasAllQueueRows(inherited),
+    unreadableRows,
     log,
-    spoilt: restorer.restore,
-    taken: wake,
-    arrived() {
+    rowUnreadable: restorer.restore,
+    admitted: wake,
+    demandArrived() {
       if (demand.hasGrown(book.open, monotonicMs())) opts.demandGrown()
     },
-    inheritedRead: markRead,
+    inheritedRead: resolveInheritedRead,
     inheritedKnown() {
       log.event('ownerStarted', {
         service,
@@ -300,7 +300,7 @@
       book.markDue()
       closeLapsed({ agents: allAgents() })
       follower.reopen()
-      newJobs.takeOffered()
+      newJobs.admitDeferred()
       emptyLeaving({ targets, agents: allAgents(), log })
       moveBadRuns({ agents: allAgents(), health, starter, log })
       waitWatch.look(allAgents())
@@ -326,7 +326,7 @@
     },
     waiting(queue) {
       if (!newJobs.knowsAll(queue)) return undefined
-      return book.waiting(queue) + newJobs.offeredOf(queue)
+      return book.waiting(queue) + newJobs.countDeferred(queue)
     },
     agents: allAgents,
     report: () =>
--- a/src/scheduler/takeover.ts
+++ b/src/scheduler/takeover.ts
@@ -8,7 +8,7 @@
 import { createUnreadRows, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger, PlatformError } from '../shared/index.js'
 import { FLUSH_RETRY_MS } from './constants.js'
-import { intakeVersion, once } from './intakeReading.js'
+import { cacheSuccess, intakeVersion } from './intakeReading.js'
 import { QUEUES_TABLE } from './queueRows.js'
 import { ROSTER_TABLE, decodeRosterEntry } from './roster.js'
 import type { InheritedEntry } from './roster.js'
@@ -16,11 +16,11 @@
 /** The progress of jobs, and the ids of those whose row cannot be read. */
 export interface InheritedProgress {
   progress: Map<string, { progress: Progress; version: number }>
-  progressUnread: Set<string>
+  unreadableProgress: Set<string>
 }
 
 /** What a predecessor has left in the store beside the jobs themselves. */
-export interface Inherited extends InheritedProgress {
+export interface InheritedState extends InheritedProgress {
   roster: InheritedEntry[]
   /** Queues whose jobs may have been started. */
   queues: string[]
@@ -29,9 +29,9 @@
 }
 
 /** What an owner knows that has lost its service before it had read anything. */
-const NOTHING_INHERITED: Inherited = {
+const NOTHING_INHERITED: InheritedState = {
   progress: new Map(),
-  progressUnread: new Set(),
+  unreadableProgress: new Set(),
   roster: [],
   queues: [],
   version: 0,
@@ -44,19 +44,19 @@
 ): Promise<Result<InheritedProgress, PlatformError>> {
   const rows = await store.read(PROGRESS_TABLE, service)
   if (rows.isErr()) return err(rows.error)
-  const unread = createUnreadRows(log, PROGRESS_TABLE)
-  const progress: Inherited['progress'] = new Map()
-  const progressUnread = new Set<string>()
+  const unreadableRows = createUnreadRows(log, PROGRESS_TABLE)
+  const progress: InheritedState['progress'] = new Map()
+  const unreadableProgress = new Set<string>()
   for (const { key, value, version } of rows.value.rows) {
     const decoded = decodeProgress(value)
     if (decoded) {
       progress.set(key, { progress: decoded, version })
       continue
     }
-    progressUnread.add(key)
-    unread.note(key, 'its job is held until the row can be read or is removed')
+    unreadableProgress.add(key)
+    unreadableRows.note(key, 'its job is held until the row can be read or is removed')
   }
-  return ok({ progress, progressUnread })
+  return ok({ progress, unreadableProgress })
 }
 
 async function readRoster(
@@ -66,38 +66,39 @@
 ): Promise<Result<InheritedEntry[], PlatformError>> {
   const roster = await store.read(ROSTER_TABLE, service)
   if (roster.isErr()) return err(roster.error)
-  const unread = createUnreadRows(log, ROSTER_TABLE)
+  const unreadableRows = createUnreadRows(log, ROSTER_TABLE)
   const entries = roster.value.rows.map(decodeRosterEntry)
   for (const { id, address } of entries) {
-    if (address === undefined) unread.note(id, 'its target counts as out of reach')
+    if (address === undefined)
+      unreadableRows.note(id, 'its target counts as out of reach')
   }
   return ok(entries)
 }
 
 /** Reads the rows under the new epoch; what was read stays read when another call fails. */
-function createInheritedReading(
+function createInheritedReader(
   store: RowStore,
   service: string,
   log: Logger,
-): () => Promise<Result<Inherited, PlatformError>> {
-  const progress = once(() => readProgress(store, service, log))
-  const roster = once(() => readRoster(store, service, log))
-  const queues = once(() => store.read(QUEUES_TABLE, service))
-  const version = once(() => intakeVersion(store))
+): () => Promise<Result<InheritedState, PlatformError>> {
+  const progress = cacheSuccess(() => readProgress(store, service, log))
+  const roster = cacheSuccess(() => readRoster(store, service, log))
+  const queues = cacheSuccess(() => store.read(QUEUES_TABLE, service))
+  const version = cacheSuccess(() => intakeVersion(store))
   return async () => {
-    const [known, entries, rows, at] = await Promise.all([
+    const [progressRes, rosterRes, queuesRes, versionRes] = await Promise.all([
       progress(),
       roster(),
       queues(),
       version(),
     ])
-    if (known.isErr()) return err(known.error)
-    if (entries.isErr()) return err(entries.error)
-    if (rows.isErr()) return err(rows.error)
-    return at.map((each) => ({
-      ...known.value,
-      roster: entries.value,
-      queues: rows.value.rows.map(({ key }) => key),
+    if (progressRes.isErr()) return err(progressRes.error)
+    if (rosterRes.isErr()) return err(rosterRes.error)
+    if (queuesRes.isErr()) return err(queuesRes.error)
+    return versionRes.map((each) => ({
+      ...progressRes.value,
+      roster: rosterRes.value,
+      queues: queuesRes.value.rows.map(({ key }) => key),
       version: each,
     }))
   }
@@ -113,10 +114,10 @@
   authority: Authority
   log: Logger
   signal: AbortSignal
-}): Promise<Inherited> {
+}): Promise<InheritedState> {
   const { store, authority, log, signal } = opts
   const { service } = authority
-  const read = createInheritedReading(store, service, log)
+  const read = createInheritedReader(store, service, log)
   for (;;) {
     const res = await read()
     if (res.isOk()) return res.value
@@ -132,6 +133,6 @@
  * Whether the rows of queues tell of all that may have been started. The version before them
  * wrote none.
  */
-export function tellsAllQueues({ queues, roster, progress }: Inherited): boolean {
+export function hasAllQueueRows({ queues, roster, progress }: InheritedState): boolean {
   return queues.length > 0 || (roster.length === 0 && progress.size === 0)
 }
