--- a/src/scheduler/epochCommit.ts
+++ b/src/scheduler/epochCommit.ts
@@ -1,13 +1,13 @@
-/** Writes of an owner that depend on nothing but its epoch. */
+/** Writes of an owner that are conditional on its epoch only. */
 import type { Result } from 'neverthrow'
 import type { Authority } from '../ownership/index.js'
 import type { RowStore, RowTransaction } from '../ports/index.js'
 import type { PlatformError } from '../shared/index.js'
 
 /**
- * Makes the change while the owner's epoch stands. False when it was refused: for another owner,
- * which the authority is told of, or for a newer version of our own epoch, so that it may be tried
- * again.
+ * Commits a change on condition that the owner's epoch row is unchanged. False when the store
+ * refuses it: either another owner has taken over, which is reported to the authority, or the
+ * row has a newer version of this owner's epoch, and the change may be retried.
  */
 export async function commitUnderEpoch(
   store: RowStore,
--- a/src/scheduler/finishedJobs.ts
+++ b/src/scheduler/finishedJobs.ts
@@ -1,7 +1,7 @@
 /**
- * Rows of jobs that are over. A job's row is moved out of the intake soon after its outcome
- * is durable, so that a takeover reads what is open and not what has been; what is left of
- * it is removed when callers do not ask for it any more.
+ * Moves and removes the rows of finished jobs. A job's row leaves the intake soon after its
+ * outcome is durable, so that a takeover reads open jobs only. The row kept for callers is
+ * removed after the retention period.
  */
 import {
   ENDED_TABLE,
@@ -32,16 +32,16 @@
   REMOVALS_PER_WRITE,
 } from './constants.js'
 
-/** Takes care of the rows of finished jobs until it is stopped. */
+/** Moves and removes rows of finished jobs until stopped. */
 export interface FinishedJobs {
-  /** The job's outcome is durable. */
+  /** Adds a job whose outcome is durable. */
   add(job: Job): void
-  /** Progress rows of jobs that the intake does not have any more. */
+  /** Adds progress rows, by job id, whose jobs are no longer in the intake. */
   addOrphanedProgress(ids: string[]): void
   stop(): Promise<void>
 }
 
-/** What it works with. */
+/** Dependencies of the handling of finished jobs. */
 export interface FinishedJobsOptions {
   store: RowStore
   service: string
@@ -50,7 +50,7 @@
   log: Logger
 }
 
-/** Something that waits until enough of its kind can share a write. */
+/** An item queued for a batched write. */
 interface Queued<T> {
   item: T
   since: number
@@ -59,7 +59,7 @@
 const isOutdated = (endedAtMs: number): boolean =>
   Date.now() - endedAtMs > KEEP_FINISHED_MS
 
-/** Whether a write is worth while: there is enough for it, or some has waited for long. */
+/** Whether a group is large enough to write, or its oldest item has waited long enough. */
 function isDue(group: Queued<unknown>[]): boolean {
   const [oldest] = group
   if (oldest === undefined) return false
@@ -68,19 +68,19 @@
   )
 }
 
-/** A job that is over, with the row that is kept of it. */
+/** A finished job, with the row that is kept for callers. */
 interface FinishedJob {
   id: string
   queue: string
   ended: EndedJob
 }
 
-/** Undefined while the outcome is not durable. */
+/** Undefined while the job's outcome is not durable. */
 function finishedOf({ spec, durableOutcome, endedAtMs }: Job): FinishedJob | undefined {
   if (!durableOutcome) return undefined
   const { id, queue, service, steps, acceptedAtMs } = spec
   const tasks = steps.reduce((sum, { count }) => sum + count, 0)
-  // A predecessor's row may not say when the job ended: it is then kept from now on.
+  // A predecessor's row may lack the end time; the retention period then starts now.
   const times = { acceptedAtMs, endedAtMs: endedAtMs ?? Date.now() }
   return {
     id,
@@ -89,28 +89,28 @@
   }
 }
 
-/** Starts looking after finished jobs. */
+/** Starts moving and removing rows of finished jobs. */
 export function createFinishedJobs(opts: FinishedJobsOptions): FinishedJobs {
   const { store, service, authority, book, log } = opts
   const stopping = createStopController()
   const startedAt = monotonicMs()
   const unreadableRows = createUnreadRows(log, ENDED_TABLE)
-  /** Jobs whose rows are still in the intake, by part of the store. */
+  /** Jobs whose rows are still in the intake, by part of the table. */
   const pendingMoves = new Map<string, Queued<FinishedJob>[]>()
-  /** Jobs whose progress rows are not needed any more. */
+  /** Ids of the jobs whose progress rows are no longer needed. */
   let pendingRemovals: Queued<string>[] = []
-  /** Jobs of this owner whose rows have moved, the first to end first. */
+  /** Jobs of this owner whose rows have been moved, in order of their end. */
   const moved: FinishedJob[] = []
-  /** Parts in which predecessors may have left rows; undefined before they are listed. */
+  /** Parts in which predecessors may have left rows; undefined until listed. */
   let inheritedParts: string[] | undefined
 
-  /** What could not be done is tried again at a later step. */
+  /** Logs a failure; a later step retries the operation. */
   const logFailure = (error: PlatformError): void =>
     log.event('rowsNotCleared', { service, reason: describeError(error) })
 
   /**
-   * Makes a change that is right whoever makes it, and at any time: the jobs are over. False
-   * when it was not made, or is not known to be.
+   * Commits a change that is valid at any time and from any owner, since the jobs have ended.
+   * False when the change was not committed, or its result is unknown.
    */
   async function commit(
     puts: (RowKey & { value: string })[],
@@ -122,7 +122,7 @@
     return res.isOk() && res.value.committed
   }
 
-  /** Moves the rows of the part in which most wait. */
+  /** Moves rows of the part in which the most jobs are waiting. */
   async function moveBatch(): Promise<void> {
     const due = [...pendingMoves].filter(([, group]) => isDue(group))
     const fullest = due.sort(([, a], [, b]) => b.length - a.length)[0]
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Removes progress rows, never before the job has left the intake: without its progress
-   * a successor would take the job for one that has not begun.
+   * Removes progress rows, but only after the job has left the intake: a successor would take
+   * a job in the intake without progress for one that has not begun.
    */
   async function removeProgressBatch(): Promise<void> {
     if (!isDue(pendingRemovals)) return
@@ -157,7 +157,7 @@
     if (done) pendingRemovals = pendingRemovals.slice(batch.length)
   }
 
-  /** Forgets the first job that nobody asks for any more. */
+  /** Removes the oldest finished job if its retention period has passed. */
   async function removeOldest(): Promise<void> {
     const [oldest] = moved
     if (!oldest || !isOutdated(oldest.ended.endedAtMs)) return
@@ -167,7 +167,10 @@
     book.remove(id)
   }
 
-  /** Clears what predecessors have left, a part at a time, once all of it is outdated. */
+  /**
+   * Removes outdated rows left by predecessors, one part at a time. Starts one retention period
+   * after the takeover, when all of them are outdated.
+   */
   async function removeInherited(): Promise<void> {
     if (monotonicMs() - startedAt < KEEP_FINISHED_MS) return
     if (!inheritedParts) {
@@ -181,8 +184,8 @@
     if (rows.isErr()) return logFailure(rows.error)
     const outdated = rows.value.rows.filter(({ key, value }) => {
       const ended = decodeEnded(value)
-      // Its age is not known: a caller may still ask, and is not told that there is no job.
-      if (!ended) unreadableRows.note(key, 'it stays until it is removed by hand')
+      // Its age is unknown: a caller may still ask, and must not be told that no such job exists.
+      if (!ended) unreadableRows.note(key, 'the row is kept until it is removed by hand')
       return ended !== undefined && isOutdated(ended.endedAtMs)
     })
     const batch = outdated.slice(0, REMOVALS_PER_WRITE)
--- a/src/scheduler/heldJobs.ts
+++ b/src/scheduler/heldJobs.ts
@@ -1,8 +1,8 @@
 /**
- * Jobs that are there and cannot be taken on, because a row of theirs cannot be read. Taken
- * on without its progress a job would run anew what is done; dropped, it would be lost. So it
- * is held: nothing of it starts, what runs goes on, and its ends are kept until the rows can
- * be read again, or the caller cancels it.
+ * Holds jobs that cannot be admitted because one of their rows cannot be read. Admitted
+ * without its progress, a job would repeat finished tasks; dropped, it would be lost. While a
+ * job is held, none of its tasks starts, running tasks continue, and the reported ends of its
+ * runs are kept, until the rows can be read again or the caller cancels the job.
  */
 import { PROGRESS_TABLE, decodeProgress, progressKey } from '../jobs/index.js'
 import type { Job, JobBook, JobSpec } from '../jobs/index.js'
@@ -25,45 +25,48 @@
 } from './constants.js'
 
 /**
- * Time after which all that runs of a job is known that was just added, in ms: targets that
- * answer have told it, and the leases of those that do not are over.
+ * Time after its admission until all runs of a job are known, in ms: targets that answer have
+ * reported them by then, and the leases of the other targets have expired.
  */
 const RUNS_KNOWN_MS = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
 
 /** The held jobs of one service. */
 export interface HeldJobs {
-  /** Holds a job; without `spec` the row of the job itself cannot be read. */
+  /** Holds a job; `spec` is undefined while the row of the job itself cannot be read. */
   hold(id: string, spec?: JobSpec): void
-  /** The row of a job can be read; false when the job is not held. */
+  /** Sets the spec of a job whose row can be read; false when the job is not held. */
   updateSpec(spec: JobSpec): boolean
-  /** False when the job is not held, or cannot be told from one that has not come yet. */
+  /**
+   * Cancels a job. False when it is not held, or held without a spec: it then looks like a job
+   * that has not arrived yet.
+   */
   cancel(id: string): boolean
-  /** The row of a job is gone. */
+  /** Stops holding a job whose row has been removed. */
   drop(id: string): void
   stop(): Promise<void>
 }
 
-/** What the holding of jobs works with. */
+/** Dependencies of the handling of held jobs. */
 export interface HeldJobsOptions {
   store: RowStore
   service: string
   authority: Authority
   book: JobBook
   log: Logger
-  /** Whether the runs of the predecessor are known. */
+  /** Whether the predecessor's runs are known. */
   isGateOpen(): boolean
 }
 
-/** Starts without any job. */
+/** Starts the checks of held jobs; no job is held at first. */
 export function createHeldJobs(opts: HeldJobsOptions): HeldJobs {
   const { store, service, authority, book, log } = opts
   const stopping = createStopController()
-  /** By id; undefined while the row of the job itself cannot be read. */
+  /** Specs by job id; undefined while the row of the job itself cannot be read. */
   const held = new Map<string, JobSpec | undefined>()
-  /** Jobs that were taken on, with the steady time at which their tasks may start, in ms. */
+  /** Admitted jobs, with the monotonic time from which their tasks may start, in ms. */
   const gateOpensAt = new Map<Job, number>()
 
-  /** Takes the job on; its tasks wait until the targets have told what runs of it. */
+  /** Admits the job; its tasks wait until the targets have reported its runs. */
   function admit(spec: JobSpec, row: StoredRow | undefined): void {
     const progress = row && decodeProgress(row.value)
     held.delete(spec.id)
@@ -73,7 +76,7 @@
     log.event('jobTaken', { job: spec.id, queue: spec.queue, service })
   }
 
-  /** Looks whether the progress of the job can be read, or is not there any more. */
+  /** Admits the job if its progress row can be read or has been removed. */
   async function checkProgress(spec: JobSpec): Promise<void> {
     const { part, key } = progressKey(service, spec.id)
     const rows = await store.read(PROGRESS_TABLE, part, keyRange(key))
@@ -86,7 +89,7 @@
     if (isReadable && held.has(spec.id)) admit(spec, row)
   }
 
-  /** The next jobs to look at; they go to the end, so that each has its turn. */
+  /** Takes the next jobs to check and moves them to the end, so that every job is checked. */
   function nextToCheck(): JobSpec[] {
     const batch = [...held.values()].flatMap((spec) => spec ?? []).slice(0, HELD_READS)
     for (const spec of batch) {
@@ -96,7 +99,7 @@
     return batch
   }
 
-  /** Lets the tasks of jobs start that were taken on a while ago. */
+  /** Lets the tasks of admitted jobs start once all runs of these jobs are known. */
   function openDueGates(): void {
     for (const [job, at] of gateOpensAt) {
       if (monotonicMs() < at) continue
@@ -105,7 +108,10 @@
     }
   }
 
-  /** The gate opens for all jobs that wait at it: none may be added a moment before. */
+  /**
+   * Admission waits for the takeover's gate to open: the gate opens for all jobs at once, and a
+   * job admitted just before would start tasks while its runs are still unknown.
+   */
   const mayAdmit = (): boolean => authority.isConfirmed() && opts.isGateOpen()
 
   async function run(): Promise<void> {
--- a/src/scheduler/inheritedJobs.ts
+++ b/src/scheduler/inheritedJobs.ts
@@ -1,52 +1,53 @@
 /**
- * Jobs that a predecessor has left. They are adopted part by part as the intake is read, and may
- * start from then on: an owner that read all of them first, 160 jobs of a service in 64 parts
- * with 0.12 of a core and 1.4 Mbit/s, started nothing for 7 to 11 s, and one that lost its lease
- * meanwhile left nothing done to the next.
+ * Adopts the jobs left by a predecessor, part by part as the intake is read, so that each may
+ * start without waiting for the rest. If all were read first, an owner with 0.12 of a core and
+ * 1.4 Mbit/s, and 160 jobs of its service in 64 parts, would start nothing for 7 to 11 s. If it
+ * lost its lease in that time, its successor would have to begin again.
  */
 import type { Job, JobBook, JobSpec } from '../jobs/index.js'
 import type { HeldJobs } from './heldJobs.js'
 import type { InheritedProgress } from './takeover.js'
 
 /**
- * Age from which a job came to the predecessor, in ms, also where its row is a new one: longer
- * than a caller's handing in takes. A younger one is new, and waits for no target.
+ * Age at the takeover from which a job counts as inherited even if its row is new, in ms. A
+ * submission takes less time than this, so a younger job is new and need not wait for the
+ * predecessor's targets.
  */
 const NEW_JOB_MAX_AGE_MS = 5000
 
-/** The jobs of the predecessor, while they are read. */
+/** The predecessor's jobs, while they are being read. */
 export interface InheritedJobs {
-  /** Whether all that the predecessor may have started is known. */
+  /** Whether every job that the predecessor may have started is known. */
   isKnown(): boolean
-  /** Whether all of them have been read. */
+  /** Whether all jobs of the predecessor have been read. */
   isComplete(): boolean
-  /** Whether a job that was not read yet came to the predecessor. */
+  /** Whether a job that has not been read yet is one of the predecessor's. */
   isInherited(job: JobSpec): boolean
-  /** Adopts a job; its tasks wait until the predecessor's targets have been heard. */
+  /** Adopts a job; its tasks wait until the predecessor's runs are known. */
   adopt(job: JobSpec): void
-  /** The row of a job cannot be read: the job is held. */
+  /** Holds a job whose row cannot be read. */
   holdUnreadable(id: string): void
-  /** What was taken so far may start. */
+  /** Passes the jobs adopted since the last call on, so that they may start. */
   flush(): void
-  /** All that may have been started has been read: what runs of other jobs is of no use. */
+  /** Marks that all jobs that may be running have been read; runs of other jobs are unwanted. */
   markKnown(): void
-  /** All have been read; what is not known by now is over. */
+  /** Marks that all jobs have been read; a job that is still unknown has ended. */
   markComplete(): void
 }
 
-/** What the adopting of jobs works with. */
+/** Dependencies of the adoption of inherited jobs. */
 export interface InheritedJobsOptions extends InheritedProgress {
   book: JobBook
   held: HeldJobs
-  /** Whether the runs of the predecessor are known. */
+  /** Whether the predecessor's runs are known. */
   isGateOpen(): boolean
-  /** Jobs are in the book now; what runs of them is to be adopted before anything starts. */
+  /** Called with jobs just added to the job book; their runs are adopted before any start. */
   adopted(jobs: readonly Job[]): void
-  /** Progress rows of jobs that have left the intake, so that nobody needs them. */
+  /** Called with the ids of progress rows whose jobs have left the intake; they are obsolete. */
   orphanedProgress(ids: string[]): void
 }
 
-/** Starts without any job; the book may miss some from now on. */
+/** Starts without jobs, and marks the job book as incomplete. */
 export function createInheritedJobs(opts: InheritedJobsOptions): InheritedJobs {
   const { book, held, progress, unreadableProgress } = opts
   const startedAtMs = Date.now()
@@ -66,7 +67,7 @@
     adopt(job) {
       seenIds.add(job.id)
       if (book.jobs.has(job.id) || held.updateSpec(job)) return
-      // Without its progress it would run anew what is done.
+      // Without its progress the job would repeat finished tasks.
       if (unreadableProgress.has(job.id)) return held.hold(job.id, job)
       const gated = !opts.isGateOpen()
       batch.push(book.add(job, { ...progress.get(job.id), gated }))
--- a/src/scheduler/intakeReading.ts
+++ b/src/scheduler/intakeReading.ts
@@ -1,4 +1,4 @@
-/** Reads the rows of the intake: the jobs that wait for owners, and the requests to cancel. */
+/** Reads the rows of the intake: jobs that are waiting for an owner, and cancel requests. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { INTAKE_TABLE, decodeIntake, queueOfPart } from '../jobs/index.js'
@@ -7,17 +7,17 @@
 import type { PlatformError, UnreadRows } from '../shared/index.js'
 
 /**
- * Parts that are read at the same time. Each takes a connection to the store, whose answers
- * share the node's link with the renewals of its lease.
+ * Parts that are read concurrently. Each read takes a connection to the store, and its reply
+ * shares the node's link with the lease renewals.
  */
 const MAX_CONCURRENT_READS = 4
 
-/** A reading that keeps what it has read, so that a try after a failure goes on from there. */
+/** A read that keeps what it has read, so that a retry after a failure continues from there. */
 export interface ResumableRead<T> {
   resume(): Promise<Result<T, PlatformError>>
 }
 
-/** The value of a reading that is made at most once. */
+/** Wraps a read so that its first successful result is cached. */
 export function cacheSuccess<T>(
   read: () => Promise<Result<T, PlatformError>>,
 ): () => Promise<Result<T, PlatformError>> {
@@ -29,39 +29,39 @@
   }
 }
 
-/** What is done with the rows of the intake that concern a service, as they are read. */
+/** Handles the rows of the intake that concern a service, as they are read. */
 export interface IntakeHandler {
   job(job: JobSpec): void
-  /** A job of whichever service is to be cancelled. */
+  /** Called for a cancel request; the job may belong to any service. */
   cancel(id: string): void
-  /** The row of a job, of whichever service, cannot be read. */
+  /** Called for a job, of any service, whose row cannot be read. */
   unreadableJob(id: string): void
-  /** Some parts have been handed on; the queues of those that are left may have more. */
-  partsRead(left: ReadonlySet<string>): void
+  /** Called after each batch of parts, with the queues of the parts that remain. */
+  partsRead(remaining: ReadonlySet<string>): void
 }
 
-/** Version of the store now: what is written later is a change after it. */
+/** Current version of the store; rows written later are changes after it. */
 export async function intakeVersion(
   store: RowStore,
 ): Promise<Result<number, PlatformError>> {
-  // No rows lie in this part, so that the answer is short.
+  // This part never has any rows, so the reply is short.
   const res = await store.read(INTAKE_TABLE, '')
   return res.map(({ version }) => version)
 }
 
-/** A reading of the rows of all queues. */
+/** Dependencies of a read of the rows of all queues. */
 export interface PartsReadingOptions {
   store: RowStore
   service: string
   unreadableRows: UnreadRows
-  /** Whether the parts of a queue are read first. */
+  /** Whether the parts of a queue are read before those of others. */
   isReadFirst(queue: string): boolean
   handler: IntakeHandler
-  /** Waits before some more parts are read; `isFirst` where they are of the first queues. */
+  /** Waits before a batch of parts; `isFirst` if some of them belong to queues read first. */
   throttle(isFirst: boolean): Promise<void>
 }
 
-/** Reads the rows of all queues, and hands on what it reads part by part. */
+/** Creates a read of the rows of all queues, which are passed to the handler part by part. */
 export function createPartsReading(opts: PartsReadingOptions): ResumableRead<void> {
   const { store, service, unreadableRows, isReadFirst, handler, throttle } = opts
   let remaining: string[] | undefined
@@ -79,7 +79,7 @@
     handler.unreadableJob(entry.id)
   }
 
-  /** Reads some of the parts that are left, which become fewer by those that were read. */
+  /** Reads a batch of `parts`, and removes the parts that could be read from the list. */
   async function readBatch(parts: string[]): Promise<Result<void, PlatformError>> {
     const batch = parts.slice(0, MAX_CONCURRENT_READS)
     await throttle(batch.some(isFirst))
@@ -88,7 +88,7 @@
     for (const [index, res] of results.entries()) {
       if (res.isErr()) {
         failure = res.error
-        // The others do not wait for it: a part of the store may be away for seconds.
+        // Moved to the end: a part may be unavailable for seconds and must not delay others.
         parts.push(...parts.splice(parts.indexOf(batch[index]!), 1))
         continue
       }
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -1,7 +1,7 @@
 /**
- * Takes new jobs on: those that callers hand in, and those that only the rows of the
- * intake tell of. A job waits while the ownership is not confirmed, and a request to
- * cancel is kept until its job comes.
+ * Admits new jobs, which arrive as offers from an entry or as rows of the intake table. A job
+ * is deferred while the ownership is not confirmed, and a cancel request that arrives before
+ * its job is kept until the job arrives.
  */
 import { createRowMirror } from '../directory/index.js'
 import type { RowMirror } from '../directory/index.js'
@@ -34,42 +34,43 @@
 import type { IntakeHandler } from './intakeReading.js'
 
 /**
- * Refused jobs that are remembered at most; callers that come back within seconds are some
- * hundred a queue.
+ * Largest number of refused jobs that are remembered; callers that retry within seconds are
+ * some hundred per queue.
  */
 const MAX_EXPECTED_JOBS = 5000
 
-/** Makes room for one more. */
+/** Evicts the oldest id if the set is full. */
 function evictOldest(ids: Set<string>): void {
   if (ids.size < MAX_EXPECTED_JOBS) return
   for (const id of ids) return void ids.delete(id)
 }
 
-/** How the owner heard of something: at once from the entry, or by its rows in the store. */
+/** How the owner learned of a job or cancel: from an entry, or from a row in the store. */
 type Source = 'told' | 'read'
 
-/** New jobs of one service. */
+/** Admission of the new jobs of one service. */
 export interface NewJobs {
   /**
-   * Takes on a job whose row is durable. One whose row is older than the takeover and was
-   * not among the open ones is over: an offer that a paused node sends late is for nothing.
+   * Admits a job whose row is durable. Ignores a row that is older than the takeover: an open
+   * job of that age is read from the intake, and any other has ended and was offered late by
+   * a node that had been paused.
    */
   offer(job: JobSpec, rowVersion: number): void
-  /** Notes the work of a job that was refused for an outage of the store. */
+  /** Counts a job that was refused because of a store outage towards the demand. */
   expect(job: JobSpec): void
-  /** False when the job is not known yet; it is cancelled when it comes. */
+  /** Cancels a job. False when it is not known yet; it is then cancelled on arrival. */
   cancel(id: string): boolean
-  /** Takes on the jobs that came while the ownership was not confirmed. */
+  /** Retries the admission of deferred jobs if the ownership is confirmed. */
   admitDeferred(): void
-  /** Jobs of a queue that came while it was not; the book does not have them yet. */
+  /** Number of deferred jobs of a queue, which are not in the job book yet. */
   countDeferred(queue: string): number
-  /** Whether all jobs of a queue are known, but for the newest. */
+  /** Whether all jobs of a queue are known, except those of the last few seconds. */
   knowsAll(queue: string): boolean
-  /** Reads what the predecessor has left, and follows the intake from the version on. */
+  /** Reads the predecessor's jobs, and follows the changes of the intake after `version`. */
   follow(version: number): RowMirror
 }
 
-/** What the taking on of new jobs works with. */
+/** Dependencies of the admission of new jobs. */
 export interface NewJobsOptions {
   store: RowStore
   service: string
@@ -79,26 +80,26 @@
   held: HeldJobs
   inherited: InheritedJobs
   queueRows: QueueRows
-  /** Queues whose jobs the service gets, as configured now. */
+  /** Names of the queues that are currently configured for the service. */
   queues(): string[]
-  /** Whether `queueRows` has all queues of which the predecessor may have started jobs. */
+  /** Whether `queueRows` has every queue from which the predecessor may have started jobs. */
   hasAllQueueRows: boolean
-  /** Rows of the intake that cannot be read. */
+  /** Tracks the rows of the intake that cannot be read. */
   unreadableRows: UnreadRows
   log: Logger
-  /** The row of a job, which the book may have, cannot be read. */
+  /** Called when the row of a job cannot be read; the job may be in the job book. */
   rowUnreadable(id: string): void
-  /** A job has been taken on. */
+  /** Called after a job has been admitted. */
   admitted(): void
-  /** More is asked of the service than before. */
+  /** Called after a job has added to the demand of the service. */
   demandArrived(): void
-  /** All that the predecessor may have started is known. */
+  /** Called once every job that the predecessor may have started is known. */
   inheritedKnown(): void
-  /** All that it has left has been read. */
+  /** Called once all jobs left by the predecessor have been read. */
   inheritedRead(): void
 }
 
-/** Creates the intake of one owner; nothing is followed yet. */
+/** Creates the admission of one owner; it reads nothing until `follow` is called. */
 export function createNewJobs(opts: NewJobsOptions): NewJobs {
   const {
     store,
@@ -112,25 +113,25 @@
     log,
   } = opts
   const { queueRows } = opts
-  /** Jobs that came while the ownership was not confirmed, or the row of their queue missing. */
+  /** Jobs that wait for the ownership to be confirmed, or for the row of their queue. */
   const deferred = new Map<string, { job: JobSpec; from: Source }>()
-  /** Jobs that were cancelled before they came; of any service, so some never do. */
+  /** Ids cancelled before the job arrived; jobs of other services among them never arrive. */
   const cancelledEarly = new Set<string>()
-  /** Up to here all open jobs were read when the service was taken over. */
+  /** Store version at the takeover; open jobs of older rows are read by the full read. */
   let takeoverVersion = 0
-  /** Ends the whole reading that is under way. */
+  /** Aborts the full read in progress. */
   let fullRead: AbortController | undefined
-  /** Queues that the whole reading has still to read; undefined before it knows. */
+  /** Queues that the full read has yet to read; undefined until it has listed them. */
   let remainingQueues: ReadonlySet<string> | undefined
   let mirror: RowMirror | undefined
-  /** Steady time at which the first reading began, in ms. */
+  /** Monotonic time at which the first full read began, in ms. */
   let followedAt = -Infinity
-  /** Jobs that were refused and have not come yet; their arrival is noted. */
+  /** Refused jobs that have not arrived yet; the demand already includes them. */
   const expected = new Set<string>()
 
   /**
-   * Takes a new job on. Out of touch with the store it waits: a successor may have it,
-   * and does not wait for this owner with jobs that came after the takeover.
+   * Admits a new job, or defers it while the ownership is not confirmed: a successor may have
+   * taken over, and it starts jobs newer than its takeover without waiting for this owner.
    */
   function admit(job: JobSpec, from: Source): void {
     if (book.jobs.has(job.id) || held.updateSpec(job)) return
@@ -149,7 +150,7 @@
     opts.demandArrived()
   }
 
-  /** Takes a job of the predecessor on, and the request to cancel it if that came before. */
+  /** Adopts a job of the predecessor, and cancels it if a cancel request arrived first. */
   function adoptInherited(job: JobSpec): void {
     queueRows.add(job.queue)
     inherited.adopt(job)
@@ -157,9 +158,9 @@
   }
 
   /**
-   * Notes the work of a job that the store could not take, so that VMs are there when it
-   * can again: of a turn of 750 jobs that began a second before an outage of 5.6 s, 55 were
-   * in time, because no VM had come for it.
+   * Counts a job that the store could not accept towards the demand, so that VMs are ready
+   * when the store is back. Otherwise only 55 of 750 jobs of a burst that began 1 s before an
+   * outage of 5.6 s were in time, because no VM had been added for them.
    */
   function expect(job: JobSpec): void {
     if (book.jobs.has(job.id) || expected.has(job.id)) return
@@ -171,7 +172,7 @@
     opts.demandArrived()
   }
 
-  /** A request to cancel may come before the job that it is for; false in that case. */
+  /** Cancels a job; false when the request arrives before the job. */
   function cancel(id: string, from: Source): boolean {
     if (held.cancel(id)) return true
     const known = book.jobs.get(id)
@@ -196,7 +197,7 @@
     if (entry.job.service === service) admit(entry.job, 'read')
   }
 
-  /** A request whose row has been cleared is for no job that may still come. */
+  /** Handles the removal of a row; a job whose cancel row is gone cannot arrive any more. */
   function applyRemoval(part: string, key: string): void {
     const entry = decodeIntake({ part, key }, '')
     if (entry.kind === 'cancel') return void cancelledEarly.delete(entry.id)
@@ -205,8 +206,9 @@
   }
 
   /**
-   * Waits until the lease was renewed lately, so that a reading does not keep the process and its
-   * link from that. It goes on without after a while: the store may refuse our own row alone.
+   * Waits for a recent lease renewal, so that reading does not delay the next one by taking up
+   * the process and its link. Stops waiting after `READ_PATIENCE_MS`, because the store may
+   * refuse writes of the lease row only.
    */
   async function waitForLease(signal: AbortSignal): Promise<void> {
     const endsAt = monotonicMs() + READ_PATIENCE_MS
@@ -216,7 +218,10 @@
     }
   }
 
-  /** Lets the queues whose parts are left tell whether all that may run is known. */
+  /**
+   * Notes the queues that are left to read. Once none of them is among those that are read
+   * first, all jobs that may be running are known.
+   */
   function updateRemaining(
     remaining: ReadonlySet<string>,
     isReadFirst: (queue: string) => boolean,
@@ -230,9 +235,9 @@
   }
 
   /**
-   * Reads the whole intake beside the changes that come meanwhile, and goes on until it is
-   * done. Read before the changes, the parts of a busy store kept an owner from hearing of
-   * what was accepted and cancelled for 16 s.
+   * Reads the whole intake, with retries, while the changes are followed concurrently. If the
+   * changes waited for this read, an owner with a busy store would not learn of accepted and
+   * cancelled jobs for 16 s.
    */
   async function readAll(signal: AbortSignal): Promise<void> {
     const beganAt = monotonicMs()
@@ -253,7 +258,7 @@
         if (inherited.isComplete() || book.jobs.has(id)) opts.rowUnreadable(id)
         else inherited.holdUnreadable(id)
       },
-      partsRead: (left) => updateRemaining(left, isReadFirst),
+      partsRead: (remaining) => updateRemaining(remaining, isReadFirst),
     }
     const isTakeover = !inherited.isComplete()
     const first = new Set([...queueRows.all(), ...opts.queues()])
@@ -287,7 +292,7 @@
     log.event('intakeRead', { service, tookMs, jobs, cancels })
   }
 
-  /** Begins a whole reading; what an earlier one has still to read, this one reads. */
+  /** Starts a full read, which replaces one that is still in progress. */
   function startFullRead(): void {
     fullRead?.abort()
     fullRead = createStopController()
@@ -295,7 +300,7 @@
     void readAll(fullRead.signal)
   }
 
-  /** Begins a whole reading; the version to follow the changes from, undefined on failure. */
+  /** Starts a full read; returns the version to follow changes from, undefined on failure. */
   async function restartFullRead(): Promise<number | undefined> {
     const version = await intakeVersion(store)
     if (version.isErr()) return undefined
--- a/src/scheduler/progressWriter.ts
+++ b/src/scheduler/progressWriter.ts
@@ -1,7 +1,8 @@
 /**
- * Makes the progress of jobs durable: one write at a time, which carries what came in
- * while the last one ran. Each write depends on the owner's epoch and on the rows that
- * it replaces, so that neither a deposed owner nor a write done late can undo anything.
+ * Makes the progress of jobs durable, one write at a time; changes that come in during a write
+ * go into the next one. Each write is conditional on the owner's epoch and on the versions of
+ * the rows that it replaces, so that neither a superseded owner nor a delayed write can undo
+ * progress.
  */
 import type { RowStore, RowTransaction, StoredRow } from '../ports/index.js'
 import { encodeProgress, progressKey } from '../jobs/index.js'
@@ -17,36 +18,38 @@
 import type { Logger } from '../shared/index.js'
 import { FLUSH_DELAY_MS, FLUSH_RETRY_MS, JOBS_PER_WRITE } from './constants.js'
 
-/** Something that moves on when all that was noted before a moment is durable. */
+/** Holds acknowledgements back until the progress that they depend on is durable. */
 export interface AckSource {
-  /** Marks what has been noted so far; the result is called once that is durable. */
+  /** Marks the progress noted so far; the returned function is called once it is durable. */
   capture(): () => void
 }
 
+/** Writes the progress of the jobs of one service. */
 export interface ProgressWriter {
-  /** Has the job's progress written soon. */
+  /** Schedules a write of the job's progress. */
   mark(job: Job): void
   addSource(source: AckSource): void
   removeSource(source: AckSource): void
-  /** Resolves to true once everything noted so far is written; to false after `ms` or on stop. */
+  /** Resolves to true once all progress so far is durable; to false after `ms` or on stop. */
   flushed(ms: number): Promise<boolean>
   stop(flushFirst: boolean): Promise<void>
 }
 
+/** Dependencies of a progress writer. */
 export interface ProgressWriterOptions {
   store: RowStore
   service: string
   authority: Authority
   log: Logger
-  /** A job's outcome has become durable. */
+  /** Called when a job's outcome has become durable. */
   settled(job: Job): void
 }
 
-/** The rows of one part by table and key. */
+/** Indexes the rows of one part by table and key. */
 const indexByKey = (rows: StoredRow[]): Map<string, StoredRow> =>
   new Map(rows.map((row) => [`${row.table}/${row.key}`, row]))
 
-/** Whether the rows that stood in the way are what was to be written, by an unanswered write. */
+/** Whether the conflicting rows already hold the values of `puts`, from an unanswered write. */
 function isStored(puts: RowTransaction['puts'], current: StoredRow[]): boolean {
   const rows = indexByKey(current)
   return puts.every(
@@ -54,6 +57,7 @@
   )
 }
 
+/** Creates a progress writer; it writes when a job is marked. */
 export function createProgressWriter(opts: ProgressWriterOptions): ProgressWriter {
   const { store, service, authority, log } = opts
   const stopping = createStopController()
@@ -88,7 +92,7 @@
     for (const resolve of waiting) resolve(true)
   }
 
-  /** Writes until it is done; false when the epoch is lost or the writer stopped. */
+  /** Retries a write until it is done; false when the epoch is lost or the writer stopped. */
   async function write(jobs: Job[]): Promise<boolean> {
     for (;;) {
       const sentAt = monotonicMs()
@@ -136,7 +140,10 @@
     opts.settled(job)
   }
 
-  /** After a conflict: a write of ours was done. False when another owner's epoch is there. */
+  /**
+   * Takes on the row versions after a conflict with an unanswered write of this owner. False
+   * when the epoch is another owner's.
+   */
   function adoptVersions(jobs: Job[], current: StoredRow[]): boolean {
     if (!authority.adoptEpoch(current)) return false
     const rows = indexByKey(current)
@@ -156,7 +163,7 @@
     removeSource: (source) => void sources.delete(source),
     flushed(ms) {
       if (dirty.size === 0 && !flushing) {
-        // What was noted needs no write, so it is as good as durable.
+        // Nothing is left to write, so all progress noted so far is durable.
         for (const source of sources) source.capture()()
         return Promise.resolve(true)
       }
--- a/src/scheduler/queueRows.ts
+++ b/src/scheduler/queueRows.ts
@@ -1,9 +1,9 @@
 /**
- * Queues that have brought jobs to the service, one row each, written before the first task of
- * such a job starts. A successor reads the jobs of these queues first: then it knows everything
- * that may have been started, also of queues that the configuration has given to another
- * service since. It read those of all queues before it did anything, four times as much where
- * four services share them.
+ * Keeps one row for each queue that has brought jobs to the service, written before the first
+ * task of such a job starts. A successor reads the jobs of these queues first and then knows
+ * every job that may have been started, including jobs of queues that have since been configured
+ * for another service. Without these rows it has to read the jobs of all queues before it
+ * starts any, four times as many where four services share them.
  */
 import type { RowKey, RowStore } from '../ports/index.js'
 import type { Authority } from '../ownership/index.js'
@@ -14,28 +14,29 @@
 
 export const QUEUES_TABLE = 'queues'
 
-/** The queues of one service. */
+/** The queue rows of one service. */
 export interface QueueRows {
   /** Whether the queue's row is durable, so that its jobs may be started. */
   has(queue: string): boolean
+  /** Queues whose rows are durable. */
   all(): ReadonlySet<string>
-  /** Has the row written, unless it is there. */
+  /** Schedules a write of the queue's row unless it is durable. */
   add(queue: string): void
   stop(): void
 }
 
-/** What the rows are written with. */
+/** Dependencies of the queue rows. */
 export interface QueueRowsOptions {
   store: RowStore
   authority: Authority
-  /** Queues whose rows a predecessor has left. */
+  /** Queues whose rows were left by a predecessor. */
   inherited: Iterable<string>
   log: Logger
-  /** Rows have become durable. */
+  /** Called when rows have become durable. */
   added(): void
 }
 
-/** Starts with the rows that are there. */
+/** Starts with the inherited rows. */
 export function createQueueRows(opts: QueueRowsOptions): QueueRows {
   const { store, authority, log } = opts
   const durable = new Set(opts.inherited)
--- a/src/scheduler/roster.ts
+++ b/src/scheduler/roster.ts
@@ -1,7 +1,7 @@
 /**
- * Targets that an owner may have started tasks on, one row each, written before the
- * first start. A successor must hear from each of them, or wait until its leases are
- * over, before it starts an inherited task anywhere.
+ * Keeps one row for each target on which an owner may have started tasks, written before the
+ * first start. A successor must get an answer from each of these targets, or wait until the
+ * leases there have expired, before it starts an inherited task anywhere.
  */
 import { z } from 'zod'
 import type { RowKey, RowStore, StoredRow } from '../ports/index.js'
@@ -19,50 +19,54 @@
 
 export const ROSTER_TABLE = 'roster'
 /**
- * Time without an answer after which new targets are written once more beside the first write,
- * in ms, and writes at the same time: nothing starts on a target before its row is known to be
- * there, and a slow store may answer one write before the other.
+ * Time without an answer after which the rows of new targets are written once more in parallel,
+ * in ms. Nothing starts on a target before its row is known to be stored, and a slow store may
+ * answer the later write first.
  */
 const HEDGE_DELAY_MS = 400
 const MAX_CONCURRENT_WRITES = 3
-/** Rows per write, of the store's 100 with the epoch's condition. */
+/** The store accepts 100 entries per transaction, including the condition on the epoch. */
 const MAX_ROWS_PER_WRITE = 90
 
 const entrySchema = z.object({ address: addressSchema })
 
-/** A target that tasks may be started on. */
+/** A target on which tasks may be started. */
 export interface RosterEntry {
   id: string
   address: string
 }
 
-/** A target that a predecessor may have started tasks on. */
+/** A target on which a predecessor may have started tasks. */
 export interface InheritedEntry {
   id: string
-  /** Undefined where the row cannot be read: its key alone says that tasks may run there. */
+  /** Undefined if the row cannot be read; its key alone shows that tasks may run there. */
   address: string | undefined
 }
 
+/** Decodes a row of the roster; a row that cannot be read gives an entry without address. */
 export function decodeRosterEntry({ key, value }: StoredRow): InheritedEntry {
   const parsed = entrySchema.safeParse(parseJson(value))
   return { id: key, address: parsed.data?.address }
 }
 
+/** The roster of one service. */
 export interface Roster {
   /** Whether the target's row is durable, so that tasks may be started there. */
   has(id: string): boolean
+  /** Schedules a write of the target's row unless it is durable. */
   add(entry: RosterEntry): void
-  /** Its tasks are known to be dead. */
+  /** Removes the row of a target whose tasks are all known to have ended. */
   remove(id: string): void
   stop(): void
 }
 
+/** Starts with the inherited entries; those that cannot be read do not count as durable. */
 export function createRoster(opts: {
   store: RowStore
   authority: Authority
   entries: InheritedEntry[]
   log: Logger
-  /** Entries have become durable. */
+  /** Called when entries have become durable. */
   added(): void
 }): Roster {
   const { store, authority, log } = opts
@@ -103,8 +107,8 @@
   }
 
   /**
-   * Writes what is new, again while there is no answer; to add a row twice does no harm. Whether
-   * one of the writes was done.
+   * Writes the pending changes. Repeats the additions while there is no answer, as adding a row
+   * twice is harmless. Resolves to whether the first write to be answered was committed.
    */
   async function write(): Promise<boolean> {
     const writes = [writeOnce([...removing])]
@@ -119,7 +123,7 @@
   async function run(): Promise<void> {
     if (isRunning) return
     isRunning = true
-    // Targets come in groups: wait a turn so that one write carries them all.
+    // Targets are added in groups; after one turn of the event loop a single write carries all.
     await sleep(0)
     while (!isStopped && (adding.size > 0 || removing.size > 0)) {
       if (!(await write())) await sleep(jittered(FLUSH_RETRY_MS))
--- a/src/scheduler/rowRestorer.ts
+++ b/src/scheduler/rowRestorer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes rows of jobs anew that another writer has spoilt. The owner knows what such a row
- * said, for it never changes; a successor could not take the job on without it.
+ * Restores job rows that another writer has made unreadable. The owner knows the contents of
+ * such a row, because job rows never change; a successor could not admit the job without it.
  */
 import { decodeIntake, encodeJob, intakeKey } from '../jobs/index.js'
 import type { Job, JobBook } from '../jobs/index.js'
@@ -11,14 +11,14 @@
 import type { Logger } from '../shared/index.js'
 import { FLUSH_RETRY_MS } from './constants.js'
 
-/** Restores rows of the intake until it is stopped. */
+/** Restores rows of the intake until stopped. */
 export interface RowRestorer {
-  /** The row of a job cannot be read any more; nothing is done where the job is not known. */
+  /** Schedules the repair of a job's unreadable row; does nothing if the job is not known. */
   restore(id: string): void
   stop(): Promise<void>
 }
 
-/** What the restoring of rows works with. */
+/** Dependencies of the row restorer. */
 export interface RowRestorerOptions {
   store: RowStore
   authority: Authority
@@ -33,13 +33,13 @@
   const unreadable = new Set<string>()
   let running: Promise<void> | undefined
 
-  /** Writes the row over the one that cannot be read, and over no other; true when done. */
+  /** Overwrites the row only while it is unreadable; true when nothing is left to do. */
   async function restoreRow({ spec }: Job): Promise<boolean> {
     const key = intakeKey(spec.queue, spec.id)
     const found = await store.read(key.table, key.part, keyRange(key.key))
     if (found.isErr()) return false
     const row = found.value.rows[0]
-    // A job that is over has no row here any more.
+    // A finished job has no row in the intake.
     if (!row || decodeIntake(row, row.value).kind === 'job') return true
     const res = await store.commit({
       conditions: [{ ...key, version: row.version }],
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Owner of one service: takes the jobs over from the store, keeps one agent per target,
- * and starts what may start. Everything that it decides rests on the job book.
+ * Owner of one service: loads the service's jobs from the store on takeover, runs one agent
+ * per target and starts the tasks that may start. All its decisions are based on the job book.
  */
 import type { Advice, RowStore, TargetOrders, VmCloud } from '../ports/index.js'
 import type { ConfigurationHolder, TargetList } from '../directory/index.js'
@@ -48,35 +48,35 @@
 import { createWaitWatch } from './waitWatch.js'
 import type { WaitReport } from './waitWatch.js'
 
-/** The owner of a service, while it runs. */
+/** A running owner of a service. */
 export interface ServiceOwner extends Owner {
   readonly service: string
-  /** Resolves once all jobs that the predecessor has left are known. */
+  /** Resolves once all jobs left by the predecessor have been read. */
   readonly inheritedRead: Promise<void>
   /**
-   * Takes on a job whose row is durable.
+   * Admits a job whose row is durable.
    * @param rowVersion version of the job's row
    */
   offer(job: JobSpec, rowVersion: number): void
-  /** A job was refused because the store cannot be used; its caller comes back. */
+  /** Notes a job that was refused because the store is unavailable; its caller will retry. */
   expect(job: JobSpec): void
-  /** False when the job is not known here. */
+  /** Cancels a job; false when the job is not known here. */
   cancel(id: string): boolean
-  /** Undefined when the job is not known here. */
+  /** Status of a job; undefined when it is not known here. */
   status(id: string): JobStatus | undefined
-  /** Why a job waits now; undefined when it does not, or is not known here. */
+  /** Why a job is waiting; undefined when it is not waiting or not known here. */
   explain(id: string): WaitReport | undefined
-  /** Jobs of the queue none of whose tasks has begun; undefined while not all are known. */
+  /** Number of jobs of the queue with no task begun; undefined while some may be unknown. */
   waiting(queue: string): number | undefined
-  /** The targets of the service, as they are at this moment. */
+  /** Agents of the service's current targets. */
   agents(): TargetAgent[]
-  /** State for the owner of the fleet. */
+  /** Builds the report that the owner of the fleet receives. */
   report(): ServiceReport
-  /** Empties the targets named, and no other. */
+  /** Evacuates exactly the targets named in the answer of the fleet's owner. */
   evacuate(answer: FleetAnswer): void
 }
 
-/** What the owner of a service works with. */
+/** Dependencies of a service owner. */
 export interface ServiceOwnerOptions {
   store: RowStore
   orders: TargetOrders
@@ -88,11 +88,14 @@
   targets: TargetList
   authority: Authority
   log: Logger
-  /** The service needs much more than it last reported. */
+  /** Called when the service needs much more than it last reported. */
   demandGrown(): void
 }
 
-/** Takes over a service. Jobs are read and targets heard after it has resolved. */
+/**
+ * Takes over a service. The jobs are read and the targets contacted after the promise has
+ * resolved.
+ */
 export async function createServiceOwner(
   opts: ServiceOwnerOptions,
 ): Promise<ServiceOwner> {
@@ -263,8 +266,8 @@
   })
 
   /**
-   * Whether VMs may be moved because the predecessor reported them closed and empty, and
-   * the fleet's owner has not heard of us yet.
+   * Whether VMs may still be moved because the predecessor reported them as closed and empty:
+   * the owner of the fleet has not answered this owner yet.
    */
   function mayLoseVms(): boolean {
     if (opts.cloud === undefined || fleetAnswered) return false
@@ -272,15 +275,15 @@
   }
 
   /**
-   * Whether what came while the takeover read is still unknown, cancels of inherited jobs above
-   * all: the predecessor may have been told of them, and not been the owner any more.
+   * Whether changes written during the takeover read are still unknown, above all cancels of
+   * inherited jobs: these may have been sent to the predecessor after it had lost the ownership.
    */
   function mayMissCancels(): boolean {
     if (Number.isFinite(intake.freshAt())) return false
     return monotonicMs() - startedAt < FIRST_LOOK_WAIT_MS
   }
 
-  /** Lets inherited tasks start once every target of the predecessor has been settled. */
+  /** Allows inherited tasks to start once the runs on all targets are settled. */
   function openGateOnceSettled(): void {
     if (gateOpen || !allAgents().every((agent) => agent.isSettled())) return
     gateOpen = true
@@ -349,7 +352,7 @@
   }
 }
 
-/** Queues whose jobs the service gets, as configured now. */
+/** Names of the queues that are currently configured for the service. */
 function queuesOf(configuration: ConfigurationHolder, service: string): string[] {
   const { queues = [] } = configuration.current() ?? {}
   return queues.filter((queue) => queue.service === service).map(({ name }) => name)
--- a/src/scheduler/takeover.ts
+++ b/src/scheduler/takeover.ts
@@ -1,4 +1,4 @@
-/** Reads what a new owner of a service must know before it hears of any job. */
+/** Reads the state that a new owner of a service needs before it handles any job. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { RowStore } from '../ports/index.js'
@@ -13,22 +13,22 @@
 import { ROSTER_TABLE, decodeRosterEntry } from './roster.js'
 import type { InheritedEntry } from './roster.js'
 
-/** The progress of jobs, and the ids of those whose row cannot be read. */
+/** Progress rows by job id, and the ids of the jobs whose progress row cannot be read. */
 export interface InheritedProgress {
   progress: Map<string, { progress: Progress; version: number }>
   unreadableProgress: Set<string>
 }
 
-/** What a predecessor has left in the store beside the jobs themselves. */
+/** State that a predecessor has left in the store, apart from the jobs themselves. */
 export interface InheritedState extends InheritedProgress {
   roster: InheritedEntry[]
-  /** Queues whose jobs may have been started. */
+  /** Queues from which jobs may have been started. */
   queues: string[]
-  /** Version of the intake to continue from: jobs of older rows are to be read. */
+  /** Version after which changes of the intake are followed; older rows are read in full. */
   version: number
 }
 
-/** What an owner knows that has lost its service before it had read anything. */
+/** State of an owner that lost its service before it had read anything. */
 const NOTHING_INHERITED: InheritedState = {
   progress: new Map(),
   unreadableProgress: new Set(),
@@ -70,12 +70,12 @@
   const entries = roster.value.rows.map(decodeRosterEntry)
   for (const { id, address } of entries) {
     if (address === undefined)
-      unreadableRows.note(id, 'its target counts as out of reach')
+      unreadableRows.note(id, 'its target is treated as unreachable')
   }
   return ok(entries)
 }
 
-/** Reads the rows under the new epoch; what was read stays read when another call fails. */
+/** Creates a read of the rows under the new epoch; a retry repeats only the failed calls. */
 function createInheritedReader(
   store: RowStore,
   service: string,
@@ -105,9 +105,9 @@
 }
 
 /**
- * Reads until it is done; nothing when the ownership is lost before. A lease that has run out
- * is no reason to end: it may be confirmed again, and an owner that then knew of nothing
- * would leave all jobs waiting, or run anew what was done.
+ * Reads the predecessor's state, with retries. Returns an empty state if the ownership is lost
+ * or the signal aborted first. An expired lease does not end the retries: it may be confirmed
+ * again, and an owner without this state would leave all jobs waiting or repeat finished tasks.
  */
 export async function readInheritedUntilDone(opts: {
   store: RowStore
@@ -130,8 +130,8 @@
 }
 
 /**
- * Whether the rows of queues tell of all that may have been started. The version before them
- * wrote none.
+ * Whether the queue rows cover every job that may have been started. Owners of an older software
+ * version wrote no such rows.
  */
 export function hasAllQueueRows({ queues, roster, progress }: InheritedState): boolean {
   return queues.length > 0 || (roster.length === 0 && progress.size === 0)
