--- a/src/scheduler/__tests__/finishedJobs.spec.ts
+++ b/src/scheduler/__tests__/finishedJobs.spec.ts
@@ -1,8 +1,8 @@
 /**
- * All nodes of an installation with thin links lost power. The new owners read every job of
- * the last minutes, finished ones too, gave up when a page took longer than their patience,
- * and began anew; a minute later no job had run, and 635 accepted ones counted as lost. The
- * logs showed owners that waited for the store, again and again, while it answered in 4 ms.
+ * Guards against takeovers that never end because finished jobs are read as well. After a power
+ * loss of all nodes on slow links, new owners read every job of the last minutes, gave up when
+ * a page exceeded the time-out, and began again. A minute later no job had run and 635 accepted
+ * jobs counted as lost, although the store answered in 4 ms.
  */
 import type { createRowTable } from '../../../playground/sim/rowTable.js'
 import { describe, it } from '../../../test/describe.js'
@@ -21,10 +21,10 @@
 import { createMemoryLogger, sleep } from '../../shared/index.js'
 import { FINISHED_WAIT_MS } from '../constants.js'
 
-/** Time after which the rows of a finished job have moved, in ms. */
+/** Time after which the rows of a finished job have been moved, in ms. */
 const MOVE_DELAY_MS = 2 * FINISHED_WAIT_MS + 1000
 
-/** What callers of a node reach, with the offers that it makes. */
+/** Creates the job service of a node, and records the row versions that it offers to owners. */
 function startFront(table: ReturnType<typeof createRowTable>) {
   const offered: number[] = []
   const owners = {
@@ -41,7 +41,7 @@
   return { jobs, offered }
 }
 
-/** A rig with an owner under which one job has ended, a moment ago. */
+/** Starts a rig with an owner and a job that has just ended. */
 async function startWithSettled() {
   const rig = createJobRig()
   rig.addTarget('t1')
@@ -53,7 +53,7 @@
   return { rig, owner, job, version }
 }
 
-/** The same once the rows of the job have moved. */
+/** The same, after the rows of the job have been moved. */
 async function startWithEnded() {
   const started = await startWithSettled()
   await sleep(MOVE_DELAY_MS)
@@ -61,7 +61,7 @@
 }
 
 describe('rows of finished jobs', () => {
-  it('leave the intake and the progress, so that a takeover reads what is open', async (t) => {
+  it('leave the intake and the progress, so that a takeover reads open jobs only', async (t) => {
     const { rig, job } = await startWithEnded()
     const open = makeJob({ ms: 0, cpu: 400 })
     rig.table.put(intakeKey(open.queue, open.id), encodeJob(open))
@@ -77,7 +77,7 @@
     await rig.stop()
   })
 
-  it('still answer callers for whom no owner does', async (t) => {
+  it('answer status and cancel requests that no owner answers', async (t) => {
     const { rig, job } = await startWithEnded()
     const { jobs } = startFront(rig.table)
     t.deepEqual(await jobs.status(QUEUE, job.id), { kind: 'ok', value: 'completed' })
@@ -86,7 +86,7 @@
     await rig.stop()
   })
 
-  it('keep a job that is handed in again from a second life', async (t) => {
+  it('keep a job that is submitted again from running twice', async (t) => {
     const { rig, job } = await startWithEnded()
     const { jobs, offered } = startFront(rig.table)
     t.deepEqual(await jobs.submit(QUEUE, job), { kind: 'accepted' })
@@ -95,8 +95,8 @@
     await rig.stop()
   })
 
-  // A node that was paused between the store's answer and its offer sends it much later.
-  it('make a late offer to the next owner be for nothing', async (t) => {
+  // A node that is paused between the store's reply and its offer sends the offer much later.
+  it('make the next owner ignore a late offer', async (t) => {
     const { rig, job, version } = await startWithEnded()
     const next = await rig.own()
     next.offer(job, version)
@@ -108,7 +108,7 @@
     await rig.stop()
   })
 
-  it('are moved by the next owner when theirs had no time for it', async (t) => {
+  it('are moved by the next owner if the previous one has not done so', async (t) => {
     const { rig, owner, job } = await startWithSettled()
     owner.live = false
     await rig.own()
@@ -119,7 +119,7 @@
     await rig.stop()
   })
 
-  it('of progress that is left alone go as well', async (t) => {
+  it('are removed if only a progress row is left', async (t) => {
     const rig = createJobRig()
     const progress = { done: {}, failedRuns: {}, checkpoints: {}, outcome: 'completed' }
     const key = { table: PROGRESS_TABLE, part: SERVICE, key: '00000000000000ff' }
@@ -130,7 +130,7 @@
     await rig.stop()
   })
 
-  it('stay while the store refuses, and move when it is back', async (t) => {
+  it('stay while the store refuses writes, and are moved when it accepts them again', async (t) => {
     const { rig, job } = await startWithSettled()
     rig.table.faults.refusedParts.add(intakeKey(job.queue, job.id).part)
     await sleep(MOVE_DELAY_MS)
--- a/src/scheduler/__tests__/foreignRows.spec.ts
+++ b/src/scheduler/__tests__/foreignRows.spec.ts
@@ -1,4 +1,7 @@
-/** An owner beside another writer, who changes rows while it works and before it begins. */
+/**
+ * Guards against lost jobs and repeated tasks when another writer overwrites rows, while an
+ * owner runs or before it takes over.
+ */
 import fc from 'fast-check'
 import { platformDocuments } from '../../../platform/index.js'
 import { describe, it } from '../../../test/describe.js'
@@ -20,9 +23,9 @@
 
 const { targets: documents } = platformDocuments
 const TARGETS = ['t1', 't2', 't3']
-/** Time between two entries of a target that nobody disturbs, in ms. */
+/** Interval at which a target writes its entry unless the entry is overwritten, in ms. */
 const ENTRY_INTERVAL_MS = 250
-/** Time after which an owner has surely read a changed entry, in ms. */
+/** Time within which an owner has read a changed entry, in ms. */
 const READ_MS = 1000
 
 const addressOf = (id: string): string => `${id}:1`
@@ -37,16 +40,16 @@
   })
 const entryKey = (id: string): RowKey => ({ table: documents.table, part: '', key: id })
 
-/** Whether an entry names the target to use, by the text alone. */
+/** Whether the text of an entry names a usable target of the service. */
 function namesTarget(id: string, text: string): boolean {
   const target = documents.decode(id, text)
   return target.isOk() && target.value.service === SERVICE && !target.value.draining
 }
 
-/** A rig whose targets write their entries themselves, until it is stopped. */
+/** Starts a rig whose targets write their own entries until it is stopped. */
 async function startRig() {
   const rig = createJobRig((store, log) => createTargetList({ store, documents, log }))
-  /** Entries of another writer, with the steady time of the writing. */
+  /** Entries of the other writer, with the monotonic time of the write, in ms. */
   const overwritten = new Map<string, { text: string; at: number }>()
   const problems: string[] = []
   const writeEntries = (): void => {
@@ -59,7 +62,7 @@
   writeEntries()
   await sleep(READ_MS)
 
-  /** Whether a task was started on the target while its entry did not name it. */
+  /** Records a problem if a task was started on the target while its entry did not name it. */
   function check(id: string): void {
     const entry = overwritten.get(id)
     if (!entry || namesTarget(id, entry.text)) return
@@ -98,7 +101,7 @@
     return job
   })
 
-/** What is wrong at the end, undefined when nothing is. */
+/** The first problem at the end of a scenario; undefined if there is none. */
 async function findProblem(rig: JobRig, jobs: JobSpec[]): Promise<string | undefined> {
   if (!(await rig.settled(jobs, 25_000))) {
     const open = jobs
@@ -113,11 +116,11 @@
   if (bad) return `${bad.id} ended ${rig.outcomeOf(bad)}`
   const invalidRows = rig.log.events.filter(({ name }) => name === 'rowInvalid')
   const tooLong = invalidRows.find(({ fields }) => JSON.stringify(fields).length > 1200)
-  if (tooLong) return `a line of ${JSON.stringify(tooLong).length} characters`
+  if (tooLong) return `a log event of ${JSON.stringify(tooLong).length} characters`
   return findBrokenPromise(rig.ledger)
 }
 
-/** Entries of targets, and others beside them, one after another. */
+/** Steps that overwrite target entries and add entries under other keys. */
 const entrySteps = fc.array(
   fc.record({
     target: fc.nat({ max: TARGETS.length - 1 }),
@@ -148,7 +151,7 @@
   return problem
 }
 
-/** Rows that an owner leaves to its successor, each replaced by a text. */
+/** Steps that overwrite rows between an owner and its successor, and add rows. */
 const rowSteps = fc.array(
   fc.record({
     row: fc.nat({ max: 50 }),
@@ -159,7 +162,7 @@
 )
 type RowStep = typeof rowSteps extends fc.Arbitrary<infer T> ? T : never
 
-/** Spoils rows; returns what puts those back that nobody has written since. */
+/** Overwrites rows; returns a function that restores those not written since. */
 function corruptRows(rig: JobRig, jobs: JobSpec[], steps: RowStep): () => void {
   const rows = [
     ...jobs.map((job) => intakeKey(job.queue, job.id)),
@@ -170,7 +173,7 @@
   for (const { row, text, key } of steps) {
     const at = rows[row % rows.length]!
     const found = rig.table.get(at)
-    // What can be read as progress is progress: of that nobody can tell who wrote it.
+    // Texts that decode as progress are left out: an owner cannot tell who wrote them.
     if (found && !before.has(at) && !/"(done|outcome)":\{/.test(text)) {
       before.set(at, { value: found.value, version: rig.table.put(at, text) })
     }
@@ -205,16 +208,16 @@
   return problem
 }
 
-/** The steps with their texts cut short. */
+/** The steps as JSON, with truncated texts. */
 const describeSteps = (steps: { text: string }[]): string =>
   JSON.stringify(steps.map((step) => ({ ...step, text: step.text.slice(0, 200) })))
 
-/** Seed of the scenarios in CI; others by hand: `FOREIGN_SEED=7 FOREIGN_RUNS=50`. */
+/** Seed of the scenarios in CI; others are run with `FOREIGN_SEED=7 FOREIGN_RUNS=50`. */
 const SEED = Number(process.env['FOREIGN_SEED'] ?? 4111)
 const RUNS = Number(process.env['FOREIGN_RUNS'] ?? 10)
 
 describe('another writer', () => {
-  it('makes no owner use a target that its entry does not name, nor lose a job', async (t) => {
+  it('cannot make an owner use a target that its entry does not name, or lose a job', async (t) => {
     const scenarios = fc.sample(entrySteps, { seed: SEED, numRuns: RUNS })
     const results = await Promise.all(scenarios.map(runEntryScenario))
     for (const [index, problem] of results.entries()) {
@@ -222,7 +225,7 @@
     }
   })
 
-  it('makes no successor lose a job or do a task twice', async (t) => {
+  it('cannot make a successor lose a job or run a task twice', async (t) => {
     const scenarios = fc.sample(rowSteps, { seed: SEED, numRuns: RUNS })
     const results = await Promise.all(scenarios.map(runRowScenario))
     for (const [index, problem] of results.entries()) {
--- a/src/scheduler/__tests__/lateOwner.spec.ts
+++ b/src/scheduler/__tests__/lateOwner.spec.ts
@@ -1,14 +1,11 @@
 /**
- * What users saw: tasks of jobs whose cancelling had been acknowledged 5 s before were started,
- * and new jobs waited 5 s and more while targets had room.
- * Order of events: a queue's turn fills the processor of its service's owner; the store forgets
- * its history; the owner reads the whole intake, 64 parts four at a time, and each call waits
- * for a turn of the late process; what is accepted or cancelled meanwhile is not looked at, and
- * the entries' own words are given up after 0.4 s, so none is heard.
- * Cause: the look at what is new waited for the look at all that is old, and was the only one
- * that could not be lost.
- * Evidence: jobs accepted and taken on by second (45 and 2), RS-8041 of the intake at 3.8 s and
- * 24 jobs taken on in one moment at 8.5 s, the median cancel heard of after 9.7 s.
+ * Guards against an owner under load that learns of accepted and cancelled jobs too late. When
+ * the store compacts its history, the owner reads the whole intake: 64 parts, four at a time,
+ * with calls that wait for a late process. Direct messages from entries are given up after
+ * 0.4 s, so only the changes in the store remain. While these waited for the full read, the
+ * owner learned of the median cancel after 9.7 s and admitted 2 jobs in a second in which 45
+ * were accepted: tasks started 5 s after their job's cancel had been acknowledged, and new jobs
+ * waited for 5 s and more although targets had room.
  */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
@@ -16,12 +13,12 @@
 import { cancelKey, encodeJob, intakeKey } from '../../jobs/index.js'
 import { sleep } from '../../shared/index.js'
 
-/** Time of a call of the store as a late process sees it, in ms. */
+/** Duration of a store call as seen by a late process, in ms. */
 const CALL_MS = 250
-/** Other queues with open jobs; each makes parts that a whole reading goes through. */
+/** Other queues with open jobs; each adds parts to a full read. */
 const OTHER_QUEUE_COUNT = 8
 const PARTS_PER_QUEUE = 8
-/** Time within which the owner knows what the store has, in ms: the platform allows 3 s. */
+/** Time within which the owner must learn of a row, in ms; the platform allows 3 s. */
 const KNOWN_MS = 2500
 
 function fillIntake({ table }: JobRig): void {
@@ -40,13 +37,13 @@
   return check()
 }
 
-/** The store forgets its history, which has something new. */
+/** Makes the store compact its history, which includes a new change. */
 function compactHistory({ table }: JobRig): void {
   table.put({ table: 'any', part: '', key: 'row' }, 'new')
   table.compact()
 }
 
-/** An owner whose store has just forgotten its history, and whose entries are not heard. */
+/** Runs `use` with an owner whose store has a full intake and answers slowly. */
 async function withSlowStore(
   use: (rig: JobRig, owner: RigOwner) => Promise<void>,
 ): Promise<void> {
@@ -62,8 +59,8 @@
   }
 }
 
-describe('owner whose store has forgotten its history', () => {
-  it('stops what is cancelled while it reads the intake', async (t) => {
+describe('owner whose store has compacted its history', () => {
+  it('stops a job that is cancelled during the full read', async (t) => {
     await withSlowStore(async (rig, owner) => {
       const job = makeJob({ ms: 20_000, cpu: 1000 }, [{ count: 2 }])
       rig.submit(owner, job)
@@ -79,7 +76,7 @@
     })
   })
 
-  it('starts what is accepted while it reads the intake', async (t) => {
+  it('starts a job that is accepted during the full read', async (t) => {
     await withSlowStore(async (rig) => {
       compactHistory(rig)
       await sleep(1200)
@@ -89,7 +86,7 @@
     })
   })
 
-  it('finds what came with the history that was lost, also after failed calls', async (t) => {
+  it('finds a job whose change was compacted, even after failed calls', async (t) => {
     await withSlowStore(async (rig) => {
       const { table, ledger, log } = rig
       const job = makeJob({ ms: 20_000, cpu: 1000 }, [{ count: 2 }])
@@ -108,7 +105,7 @@
 })
 
 describe('owner that has just taken over', () => {
-  /** A job whose owner is gone, and whose successor knows the target. */
+  /** A job that has no owner, and a target that the next owner inherits. */
   async function startInherited() {
     const rig = createJobRig()
     rig.addTarget('t1')
@@ -121,9 +118,9 @@
     return { rig, job }
   }
 
-  // Tasks were started 5 s after their job's cancel: it came while the new owner read, the
-  // entries told the former one, and the new one started before its first look.
-  it('starts nothing that was cancelled while it read', async (t) => {
+  // A cancel that arrives during the takeover read is sent to the former owner. Tasks would start
+  // 5 s after it if the new owner did not read the changes first.
+  it('starts no job that was cancelled during the takeover read', async (t) => {
     const { rig, job } = await startInherited()
     rig.table.faults.delayMs = CALL_MS
     const owner = await rig.beginOwning()
@@ -134,7 +131,7 @@
     await rig.stop()
   })
 
-  it('starts what it has inherited all the same when the store is gone', async (t) => {
+  it('starts inherited jobs even if the store is unavailable', async (t) => {
     const { rig } = await startInherited()
     await rig.own()
     rig.table.faults.down = true
--- a/src/scheduler/__tests__/lostProgress.spec.ts
+++ b/src/scheduler/__tests__/lostProgress.spec.ts
@@ -6,13 +6,13 @@
 import { createMemoryLogger, monotonicMs, sleep } from '../../shared/index.js'
 import { createStoreAccess } from '../../storeAccess/index.js'
 
-/** Time that callers allow a job beyond its work, in ms. */
+/** Time that callers allow beyond the duration of a job's work, in ms. */
 const ALLOWANCE_MS = 600
-/** Time after which the adapter gives a call up, in ms. */
+/** Time-out of a store call in the adapter, in ms. */
 const CALL_TIMEOUT_MS = 1500
 const TASK_MS = 50
 
-/** An owner whose store does some writes of progress without an answer. */
+/** Starts an owner whose store applies some progress writes without answering in time. */
 async function startOwner(t: ExecutionContext) {
   const rig = createJobRig()
   const direct = rig.table.forNode
@@ -47,8 +47,8 @@
   return { rig, owner, losses, writes }
 }
 
-describe('write of progress that is done and not answered', () => {
-  it('does not use up the time that callers allow', async (t) => {
+describe('progress write that is applied but not answered', () => {
+  it('does not delay the job beyond what callers allow', async (t) => {
     const { rig, owner, losses } = await startOwner(t)
     losses.left = 2
     const job = makeJob({ ms: TASK_MS }, [{ count: 1 }])
@@ -58,7 +58,7 @@
     t.true(monotonicMs() - submittedAt - TASK_MS < ALLOWANCE_MS)
   })
 
-  it('is not made a third time once its rows are seen', async (t) => {
+  it('is not sent a third time once its rows are found in the store', async (t) => {
     const { rig, owner, losses, writes } = await startOwner(t)
     losses.left = 1
     const job = makeJob({ ms: TASK_MS }, [{ count: 1 }])
--- a/src/scheduler/__tests__/model.spec.ts
+++ b/src/scheduler/__tests__/model.spec.ts
@@ -4,10 +4,10 @@
 import type { JobRig, RigOwner } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
-/** One thing that happens, and how long to wait after it. */
+/** An action, and the pause after it. */
 interface Step {
   kind: keyof typeof ACTIONS
-  /** Chooses a target or a share. */
+  /** Selects a target or a parameter of the action. */
   pick: number
   waitMs: number
 }
@@ -26,7 +26,7 @@
   return all[pick % all.length]!
 }
 
-/** What can happen; each leaves the simulation able to recover. */
+/** Actions of a scenario; the simulation can recover from any of them. */
 const ACTIONS = {
   submit(sim: Simulation, pick: number) {
     const steps = pick % 2 ? [{ count: 3 }, { count: 2, after: [0] }] : [{ count: 4 }]
@@ -73,7 +73,7 @@
     }
   },
   async takeOver(sim: Simulation, pick: number) {
-    // The former owner's lease is over; in its grace time it goes on, or it is gone.
+    // The former owner's lease has expired: it continues in its grace period, or has stopped.
     sim.owner.confirmed = false
     if (pick % 2) sim.owner.live = false
     sim.owner = await sim.rig.own(true)
@@ -136,12 +136,12 @@
   return bad && `${bad.id} ended ${rig.outcomeOf(bad)}`
 }
 
-/** Seed of the scenarios in CI; others by hand: `MODEL_SEED=7 MODEL_RUNS=50`. */
+/** Seed of the scenarios in CI; others are run with `MODEL_SEED=7 MODEL_RUNS=50`. */
 const SEED = Number(process.env['MODEL_SEED'] ?? 20261202)
 const RUNS = Number(process.env['MODEL_RUNS'] ?? 12)
 
-describe('leases, epochs, lost answers and late orders', () => {
-  it('never give a task two runs, and lose no job', async (t) => {
+describe('leases and epochs under lost answers and late orders', () => {
+  it('never run a task twice, and lose no job', async (t) => {
     const scenarios = fc.sample(steps, { seed: SEED, numRuns: RUNS })
     const results = await Promise.all(scenarios.map(runScenario))
     for (const [index, problem] of results.entries()) {
--- a/src/scheduler/__tests__/ownerTakeover.spec.ts
+++ b/src/scheduler/__tests__/ownerTakeover.spec.ts
@@ -1,4 +1,4 @@
-/** What an owner does about runs that it did not start, or that it cannot hear of. */
+/** Guards against lost or repeated tasks whose runs an owner did not start or cannot observe. */
 import { ok } from 'neverthrow'
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
@@ -9,9 +9,9 @@
   throw new Error('not used in this test')
 }
 
-describe('owner of a service that takes over or is out of touch', () => {
+describe('owner of a service that takes over or has lost contact', () => {
   describe('takeover', () => {
-    it('keeps what runs, and repeats nothing that was done', async (t) => {
+    it('keeps running tasks and repeats no finished ones', async (t) => {
       const rig = createJobRig()
       rig.addTarget('t1')
       rig.addTarget('t2')
@@ -25,7 +25,7 @@
       t.true(await rig.settled(jobs, 5000))
       t.is(findBrokenPromise(rig.ledger), undefined)
       t.is(rig.ledger.entries.filter(({ what }) => what === 'start').length, 40)
-      // The former owner learns of it at its next write or start, not before.
+      // The former owner learns of the takeover at its next write or start, not before.
       const late = makeJob({ ms: 20, cpu: 400 })
       rig.submit(first, late)
       t.true(await rig.settled([late], 5000))
@@ -35,8 +35,8 @@
       await rig.stop()
     })
 
-    // A VM that the former owner had closed and emptied may be moved at any moment.
-    it('starts nothing before the owner of the fleet has heard of it', async (t) => {
+    // A VM that the former owner has closed and emptied may be moved at any moment.
+    it('starts nothing before the owner of the fleet has answered', async (t) => {
       const rig = createJobRig()
       rig.addTarget('t1')
       rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
@@ -50,7 +50,7 @@
       await rig.stop()
     })
 
-    it('waits for the leases of a target that it cannot hear', async (t) => {
+    it('waits until the leases of an unreachable target have expired', async (t) => {
       const rig = createJobRig()
       const cut = rig.addTarget('t1')
       const first = await rig.own()
@@ -70,7 +70,7 @@
     })
   })
 
-  it('does not wait for leases of a life that no VM has any more', async (t) => {
+  it('does not wait for leases of a target incarnation that no VM has any more', async (t) => {
     const rig = createJobRig()
     const lost = rig.addTarget('t1')
     rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
@@ -85,8 +85,8 @@
     await rig.stop()
   })
 
-  // Found by a hunt: each unanswered renewal put the end of the lease off, for ever.
-  it('starts a task again once the lease of a silent target is over', async (t) => {
+  // Unanswered renewals must not extend the lease, as it would then never expire.
+  it('starts a task again once the lease of a silent target has expired', async (t) => {
     const rig = createJobRig()
     const left = rig.addTarget('t1')
     const owner = await rig.own()
@@ -102,9 +102,9 @@
     await rig.stop()
   })
 
-  // Found on fk-aktiv trouble-2: a hall was cut off with the owner in it; its successor
-  // took note of ends that the owner could not hear, and the owner ran the tasks again.
-  it('gives up no run while it is out of touch with the store', async (t) => {
+  // An owner in a data hall that is cut off misses ends that its successor records, and must
+  // not run the tasks again.
+  it('gives up no run while it has no contact with the store', async (t) => {
     const rig = createJobRig()
     const silent = rig.addTarget('t1')
     const owner = await rig.own()
--- a/src/scheduler/__tests__/roster.spec.ts
+++ b/src/scheduler/__tests__/roster.spec.ts
@@ -1,4 +1,7 @@
-/** Targets in use: each has a row before anything starts there. */
+/**
+ * Guards against starts that wait for roster rows: a target needs a durable row before anything
+ * starts on it.
+ */
 import { ok } from 'neverthrow'
 import { createRowTable } from '../../../playground/sim/rowTable.js'
 import { describe, it } from '../../../test/describe.js'
@@ -9,7 +12,7 @@
 
 const EPOCH = { table: 'epochs', part: 'svc', key: 'epoch' }
 
-/** A store of which the first commits are neither answered nor done. */
+/** Creates a roster whose store neither applies nor answers the first commits. */
 function startRoster(silentCommits: number) {
   const table = createRowTable()
   const version = table.put(EPOCH, '1')
@@ -46,7 +49,7 @@
 }
 
 describe('createRoster', () => {
-  // Jobs waited up to 7 s for VMs that had come: the rows of these went unanswered.
+  // Jobs would wait for up to 7 s for ready VMs if the writes of their rows went unanswered.
   it('writes new targets again while the store does not answer', async (t) => {
     const { roster, table, stop } = startRoster(2)
     roster.add({ id: 't1', address: 't1:1' })
@@ -56,7 +59,7 @@
     stop()
   })
 
-  it('asks a silent store for no more than three writes at a time', async (t) => {
+  it('sends a silent store no more than three writes at a time', async (t) => {
     const { roster, commits, stop } = startRoster(100)
     roster.add({ id: 't1', address: 't1:1' })
     await sleep(2500)
--- a/src/scheduler/__tests__/serviceOwner.spec.ts
+++ b/src/scheduler/__tests__/serviceOwner.spec.ts
@@ -3,7 +3,7 @@
 import { sleep } from '../../shared/index.js'
 
 describe('createServiceOwner', () => {
-  it('runs steps in their order and makes outcomes durable', async (t) => {
+  it('runs the steps of a job in order and makes its outcome durable', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     rig.addTarget('t2')
@@ -26,9 +26,9 @@
     await rig.stop()
   })
 
-  // Found on a day whose callers were told that no job waited while five had waited for 5 s.
-  describe('jobs that wait', () => {
-    it('include those whose start has only been ordered', async (t) => {
+  // Guards against a report of no waiting jobs while five have been waiting for 5 s.
+  describe('number of waiting jobs', () => {
+    it('includes a job whose start has been ordered but not answered', async (t) => {
       const rig = createJobRig()
       const target = rig.addTarget('t1')
       const owner = await rig.own()
@@ -42,7 +42,7 @@
       await rig.stop()
     })
 
-    it('include those that came while the ownership was not confirmed', async (t) => {
+    it('includes a job that arrives while the ownership is not confirmed', async (t) => {
       const rig = createJobRig()
       rig.addTarget('t1')
       const owner = await rig.own()
@@ -57,7 +57,7 @@
     })
   })
 
-  it('fails a job whose task failed as often as allowed, and not before', async (t) => {
+  it('fails a job only after its task has failed as often as allowed', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -69,7 +69,7 @@
     await rig.stop()
   })
 
-  it('stops the runs of a cancelled job and starts none again', async (t) => {
+  it('stops the runs of a cancelled job and starts no more of them', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -85,8 +85,8 @@
     await rig.stop()
   })
 
-  describe('order without an answer', () => {
-    it('is not given again while it may still be carried out', async (t) => {
+  describe('unanswered start order', () => {
+    it('is not repeated while it may still be carried out', async (t) => {
       const rig = createJobRig()
       const late = rig.addTarget('t1')
       const owner = await rig.own()
@@ -103,8 +103,8 @@
     })
   })
 
-  // Found by a hunt: jobs that came while the store was away were cancelled meanwhile.
-  it('starts nothing of a job that was cancelled before it was taken on', async (t) => {
+  // A job that arrives during a store outage may be cancelled before it is admitted.
+  it('starts no task of a job that was cancelled before it was admitted', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -120,7 +120,7 @@
     await rig.stop()
   })
 
-  it('does not lose its place when a commit is done late', async (t) => {
+  it('keeps its ownership when a commit is applied late', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
--- a/src/scheduler/__tests__/takeover.spec.ts
+++ b/src/scheduler/__tests__/takeover.spec.ts
@@ -20,7 +20,7 @@
 import { createPartsReading, intakeVersion } from '../intakeReading.js'
 import { readInheritedUntilDone } from '../takeover.js'
 
-/** A reading of all parts, and the ids of the jobs that it has handed on. */
+/** Creates a read of all parts, and collects the ids of the jobs that it passes on. */
 function startParts(store: RowStore, first: string[] = []) {
   const ids: string[] = []
   const reading = createPartsReading({
@@ -40,13 +40,13 @@
 }
 
 describe('createPartsReading', () => {
-  // A queue without rows is no part of the table: its first job makes it one.
+  // A queue without rows has no part in the table; its first job adds one.
   const cases: [name: string, queues: string[]][] = [
-    ['the first of all', []],
-    ['one beside others', ['other']],
+    ['the first queue', []],
+    ['one of several queues', ['other']],
   ]
   for (const [name, queues] of cases) {
-    it(`misses no job of a queue that comes while it reads: ${name}`, async (t) => {
+    it(`misses no job of a queue that appears during the read: ${name}`, async (t) => {
       const table = createRowTable()
       for (const queue of queues) {
         const job = { ...makeJob({}), queue }
@@ -72,7 +72,7 @@
     })
   }
 
-  it('goes on from what it has read after a failure', async (t) => {
+  it('continues after a failure without reading any part twice', async (t) => {
     const table = createRowTable()
     const jobs = Array.from({ length: 16 }, () => makeJob({}))
     for (const job of jobs) table.put(intakeKey(job.queue, job.id), encodeJob(job))
@@ -109,7 +109,7 @@
 })
 
 describe('readInheritedUntilDone', () => {
-  /** An authority that may not order, in a store that refuses. */
+  /** Starts a read for an authority that may not give orders, from a store that is down. */
   function startReading() {
     const table = createRowTable()
     const job = makeJob({})
@@ -134,9 +134,9 @@
     return { table, job, state, inherited }
   }
 
-  // An owner began with no job at all, because its lease had run out while it read; then the
-  // lease was confirmed, and nothing of the service ran any more.
-  it('goes on while the lease has run out, for it may be confirmed', async (t) => {
+  // If an expired lease ended the read, the owner would know of no job, and nothing of the
+  // service would run after the lease was confirmed again.
+  it('continues while the lease is expired, as it may be confirmed again', async (t) => {
     const { table, job, inherited } = startReading()
     await sleep(300)
     table.faults.down = false
--- a/src/scheduler/__tests__/takeoverReading.spec.ts
+++ b/src/scheduler/__tests__/takeoverReading.spec.ts
@@ -1,13 +1,10 @@
 /**
- * What callers saw: after all nodes of a site with thin links had lost power, accepted jobs stood
- * still, some to the end of the day, while targets had room.
- * Order of events: five services get new owners on nodes of 0.12 of a core and 1.4 Mbit/s; each
- * reads the intake of all services, 64 parts four at a time; until the last part has come it
- * calls no target and starts nothing; what comes meanwhile waits too; when the lease ends before,
- * the next owner begins the same.
- * Cause: a takeover was one step that had to be whole before anything was done.
- * Evidence: `ownerStarted` 6.4 to 11 s after `ownershipTaken`, against a lease of 1.2 s; the first
- * `targetHeard` after it.
+ * Guards against a takeover that must be complete before the owner starts anything. After a
+ * power loss of all nodes on slow links, five services get new owners on nodes with 0.12 of a
+ * core and 1.4 Mbit/s, and each reads the intake of all services: 64 parts, four at a time. If
+ * it calls no target and starts nothing until the last part is read, it needs 6.4 to 11 s,
+ * against a lease of 1.2 s, and when it loses the lease the next owner begins again. Accepted
+ * jobs then do not run although targets have room.
  */
 import { describe, it } from '../../../test/describe.js'
 import { SERVICE, createJobRig, makeJob } from '../../../test/jobRig.js'
@@ -17,7 +14,7 @@
 import { sleep } from '../../shared/index.js'
 import { QUEUES_TABLE } from '../queueRows.js'
 
-/** Time within which something that waits for nothing has begun, in ms: the users' own limit. */
+/** Time within which a job must start if nothing holds it up, in ms; the limit of the users. */
 const START_LIMIT_MS = 3000
 
 const partOf = (job: JobSpec): string => intakeKey(job.queue, job.id).part
@@ -35,7 +32,7 @@
   return check()
 }
 
-/** A job whose tasks run on `t1`, and whose owner is gone. */
+/** Starts a job on `t1` and stops its owner while the tasks run. */
 async function leaveRunningJob(rig: JobRig, ms: number): Promise<JobSpec> {
   rig.addTarget('t1')
   const first = await rig.own()
@@ -47,8 +44,8 @@
   return job
 }
 
-describe('owner that still reads what it has taken over', () => {
-  it('starts what it has read', async (t) => {
+describe('owner that is still reading the jobs of its predecessor', () => {
+  it('starts a job that it has read', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const [known, missing] = [makeJob({ ms: 100 }), makeJob({ ms: 100 })]
@@ -63,7 +60,7 @@
     await rig.stop()
   })
 
-  it('starts what comes meanwhile', async (t) => {
+  it('starts a job that arrives in the meantime', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const [missing, later] = [makeJob({ ms: 100 }), makeJob({ ms: 100 })]
@@ -78,7 +75,7 @@
     await rig.stop()
   })
 
-  it('lets a run go on whose job it has not read, and starts it no second time', async (t) => {
+  it('keeps a run whose job it has not read, and does not start it again', async (t) => {
     const rig = createJobRig()
     const job = await leaveRunningJob(rig, 2500)
     rig.table.faults.refusedParts.add(partOf(job))
@@ -93,14 +90,14 @@
     await rig.stop()
   })
 
-  it('leaves ends of jobs that it has not read to its successor', async (t) => {
+  it('leaves the ends of jobs that it has not read to its successor', async (t) => {
     const rig = createJobRig()
     const job = await leaveRunningJob(rig, 600)
     const { part } = intakeKey(job.queue, job.id)
     rig.table.faults.refusedParts.add(part)
     const second = await rig.beginOwning()
     await sleep(1500)
-    // It is deposed before it has read the job.
+    // The owner is superseded before it has read the job.
     second.live = false
     await second.stop(false)
     rig.table.faults.refusedParts.clear()
@@ -110,10 +107,10 @@
     await rig.stop()
   })
 
-  it('places nothing beside runs whose room it does not know', async (t) => {
+  it('starts nothing on a target with runs of unknown size', async (t) => {
     const rig = createJobRig()
     const job = await leaveRunningJob(rig, 4000)
-    // Two tasks of 1,000 run there, of the 4,000 that it has: three more do not fit.
+    // Two tasks of 1,000 each run on the target, which has 4,000: three more do not fit.
     const next = makeJob({ ms: 100, cpu: 1000 }, [{ count: 4 }])
     rig.table.faults.refusedParts.add(partOf(job))
     await rig.beginOwning()
@@ -127,7 +124,7 @@
     await rig.stop()
   })
 
-  it('starts nothing of a queue that its successor would not read first', async (t) => {
+  it('starts no job of a queue without a row, which a successor would not read first', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -140,7 +137,7 @@
     await rig.stop()
   })
 
-  it('does not begin anew what is done', async (t) => {
+  it('does not repeat finished tasks', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const first = await rig.own()
@@ -157,7 +154,7 @@
     rig.table.faults.refusedParts.add(partOf(job))
     await rig.beginOwning()
     await sleep(500)
-    // Written anew, as an owner does with a row that was spoilt: it is not a new job.
+    // Written again, as an owner does to restore an unreadable row: the job is not a new one.
     putJob(rig, job)
     await sleep(1500)
     rig.table.faults.refusedParts.clear()
@@ -167,8 +164,9 @@
   })
 })
 
-describe('owner whose predecessor wrote no rows of queues', () => {
-  // The version before this one did not; its jobs may be of queues that are others' by now.
+describe('owner whose predecessor wrote no queue rows', () => {
+  // An older software version writes none; its jobs may belong to queues that are configured for
+  // another service by now.
   it('keeps the progress of jobs that it reads last', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
@@ -193,8 +191,8 @@
   })
 })
 
-describe('how many jobs wait', () => {
-  it('is not said before all of the queue are known', async (t) => {
+describe('number of waiting jobs', () => {
+  it('is not reported before all jobs of the queue are known', async (t) => {
     const rig = createJobRig()
     const job = makeJob({ ms: 100 })
     putJob(rig, job)
@@ -207,8 +205,8 @@
     await rig.stop()
   })
 
-  // 53 were said to wait where 124 had waited for 5 s: the look at the store was behind.
-  it('is not said by an owner that has not looked at the store lately', async (t) => {
+  // An outdated read of the store gives too low a number: 53 where 124 had waited for 5 s.
+  it('is not reported by an owner that has not read the store recently', async (t) => {
     const rig = createJobRig()
     const owner = await rig.own()
     const job = makeJob({ ms: 100 })
--- a/src/scheduler/__tests__/unreadableRows.spec.ts
+++ b/src/scheduler/__tests__/unreadableRows.spec.ts
@@ -1,4 +1,4 @@
-/** What a new owner does about rows of its predecessor that it cannot read. */
+/** Guards against lost jobs and repeated tasks when a predecessor's rows cannot be read. */
 import { describe, it } from '../../../test/describe.js'
 import {
   SERVICE,
@@ -19,14 +19,14 @@
 const doneOf = (rig: JobRig): string[] =>
   rig.ledger.entries.flatMap(({ what, task }) => (what === 'done' ? task : []))
 
-/** Whether a line of the kind tells of the key. */
+/** Whether an event of this name has been logged for the key or job. */
 const hasEvent = ({ log }: JobRig, name: string, key: string): boolean =>
   log.events.some(
     (each) =>
       each.name === name && (each.fields['key'] === key || each.fields['job'] === key),
   )
 
-/** A rig whose owner is gone, with a job of which the first of two steps is done. */
+/** Starts a rig with a job whose first of two steps is done and whose owner has stopped. */
 async function startWithHalfDoneJob() {
   const rig = createJobRig()
   rig.addTarget('t1')
@@ -50,7 +50,7 @@
   return { rig, job, key }
 }
 
-/** Replaces a row by a text, and gives back what it was. */
+/** Overwrites a row, and returns its previous value. */
 function corruptRow(rig: JobRig, key: RowKey, text = '{"done":7}'): string {
   const before = rig.table.get(key)!.value
   rig.table.put(key, text)
@@ -60,8 +60,8 @@
 const firstStep = ({ id }: JobSpec): string[] => [0, 1, 2, 3].map((i) => `${id}.0.0.${i}`)
 
 describe('progress that cannot be read', () => {
-  // The new owner took the job for one that had not begun, and ran all of it again.
-  it('holds its job, which runs nothing anew and is shown as not over', async (t) => {
+  // Without progress a new owner would take the job for one that has not begun, and repeat it.
+  it('holds its job, which repeats no task and is not reported as finished', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
     const other = makeJob({ ms: 30, cpu: 400 })
@@ -90,7 +90,7 @@
     await rig.stop()
   })
 
-  it('has its job begin anew when it is removed by hand', async (t) => {
+  it('lets its job start from the beginning when it is removed by hand', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
     await rig.own()
@@ -101,7 +101,7 @@
     await rig.stop()
   })
 
-  it('does not keep its job from being cancelled', async (t) => {
+  it('does not prevent its job from being cancelled', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
     const owner = await rig.own()
@@ -114,8 +114,8 @@
 })
 
 describe('row of a job that cannot be read', () => {
-  // Its progress was removed as that of a job that is over: read again, it ran anew.
-  it('keeps the progress, and the job goes on once it can be read', async (t) => {
+  // If its progress were removed like that of a finished job, the job would run again later.
+  it('keeps its progress, and the job continues once the row can be read', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
     corruptRow(rig, intake, '\uFFFD')
@@ -131,7 +131,7 @@
     await rig.stop()
   })
 
-  it('runs nothing of a job that was cancelled meanwhile', async (t) => {
+  it('starts no task if the job was cancelled in the meantime', async (t) => {
     const { rig, job } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
     corruptRow(rig, intake, 'null')
@@ -146,8 +146,8 @@
     await rig.stop()
   })
 
-  // The owner went on with the job, and its successor could not read it.
-  it('is written anew by an owner that knows the job', async (t) => {
+  // The owner can go on with the job, but its successor could not read it.
+  it('is restored by an owner that knows the job', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -168,7 +168,7 @@
     await rig.stop()
   })
 
-  it('costs no other row of its part', async (t) => {
+  it('does not affect other rows of its part', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const jobs = Array.from({ length: 16 }, () => makeJob({ ms: 20, cpu: 100 }))
@@ -186,8 +186,8 @@
 })
 
 describe('row of the roster that cannot be read', () => {
-  /** A target out of reach with a run on it, whose row in the roster is spoilt. */
-  async function startWithUnreachableTarget(spoilt: string, listed: boolean) {
+  /** Starts a run on a target, makes it unreachable and corrupts its row in the roster. */
+  async function startWithUnreachableTarget(text: string, listed: boolean) {
     const rig = createJobRig()
     const cut = rig.addTarget('t1')
     const first = await rig.own()
@@ -199,15 +199,15 @@
     first.live = false
     if (!listed) rig.unlist('t1')
     rig.addTarget('t2')
-    corruptRow(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, spoilt)
+    corruptRow(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, text)
     return { rig, job }
   }
 
-  // The new owner did not know of the target, and started its tasks a second time at once.
+  // A new owner that ignored such a row would start the target's tasks a second time at once.
   for (const listed of [true, false]) {
     for (const text of ['{}', '\uFFFD', '{"address":"t1:70000"}']) {
       const where = listed ? 'that is listed' : 'that is not listed'
-      it(`lets no inherited task start early, of a target ${where}: ${text}`, async (t) => {
+      it(`keeps inherited tasks of a target ${where} from starting early: ${text}`, async (t) => {
         const { rig, job } = await startWithUnreachableTarget(text, listed)
         await rig.own()
         await sleep(2000)
@@ -222,7 +222,7 @@
     }
   }
 
-  it('is removed once all that may run there is over', async (t) => {
+  it('is removed once all runs on the target have ended', async (t) => {
     const { rig, job } = await startWithUnreachableTarget('{}', false)
     await rig.own()
     t.true(await rig.settled([job], 15_000))
