--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -346,8 +346,8 @@
       queueRows.stop()
       await progress.stop(handOver)
       await Promise.all(allAgents().map((agent) => agent.close()))
-      const rows = [intake, finished, held, restorer]
-      await Promise.all([housekeeping, ...rows.map((each) => each.stop())])
+      const workers = [intake, finished, held, restorer]
+      await Promise.all([housekeeping, ...workers.map((worker) => worker.stop())])
     },
   }
 }
