--- a/src/scheduler/inheritedJobs.ts
+++ b/src/scheduler/inheritedJobs.ts
@@ -27,7 +27,7 @@
   adopt(job: JobSpec): void
   /** Holds a job whose row cannot be read. */
   holdUnreadable(id: string): void
-  /** Passes the jobs adopted since the last call on, so that they may start. */
+  /** Lets the jobs start that have been adopted since the last call. */
   flush(): void
   /** Marks that all jobs that may be running have been read; runs of other jobs are unwanted. */
   markKnown(): void
--- a/src/scheduler/intakeReading.ts
+++ b/src/scheduler/intakeReading.ts
@@ -79,7 +79,7 @@
     handler.unreadableJob(entry.id)
   }
 
-  /** Reads a batch of `parts`, and removes the parts that could be read from the list. */
+  /** Reads a batch of `parts`, and removes those that were read from the list. */
   async function readBatch(parts: string[]): Promise<Result<void, PlatformError>> {
     const batch = parts.slice(0, MAX_CONCURRENT_READS)
     await throttle(batch.some(isFirst))
@@ -88,7 +88,7 @@
     for (const [index, res] of results.entries()) {
       if (res.isErr()) {
         failure = res.error
-        // Moved to the end: a part may be unavailable for seconds and must not delay others.
+        // Retried last: a part may be unavailable for seconds and must not delay the others.
         parts.push(...parts.splice(parts.indexOf(batch[index]!), 1))
         continue
       }
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -35,7 +35,7 @@
 
 /**
  * Largest number of refused jobs that are remembered; callers that retry within seconds are
- * some hundred per queue.
+ * a few hundred per queue.
  */
 const MAX_EXPECTED_JOBS = 5000
 
@@ -159,8 +159,8 @@
 
   /**
    * Counts a job that the store could not accept towards the demand, so that VMs are ready
-   * when the store is back. Otherwise only 55 of 750 jobs of a burst that began 1 s before an
-   * outage of 5.6 s were in time, because no VM had been added for them.
+   * when the store is back. Otherwise only 55 of 750 jobs are in time in a burst that begins 1 s
+   * before an outage of 5.6 s, because no VM is added for them.
    */
   function expect(job: JobSpec): void {
     if (book.jobs.has(job.id) || expected.has(job.id)) return
--- a/src/scheduler/progressWriter.ts
+++ b/src/scheduler/progressWriter.ts
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Takes on the row versions after a conflict with an unanswered write of this owner. False
-   * when the epoch is another owner's.
+   * Adopts the current row versions after a conflict, which an unanswered write of this owner
+   * has caused. False when the epoch is another owner's.
    */
   function adoptVersions(jobs: Job[], current: StoredRow[]): boolean {
     if (!authority.adoptEpoch(current)) return false
