--- a/src/scheduler/__tests__/takeover.spec.ts
+++ b/src/scheduler/__tests__/takeover.spec.ts
@@ -20,33 +20,33 @@
 import { createPartsReading, intakeVersion } from '../intakeReading.js'
 import { readInheritedUntilDone } from '../takeover.js'
 
-/** A reading of all parts, and the ids of the jobs that it has handed on. */
+/** Creates a read of all parts, and collects the ids of the jobs that it passes on. */
 function startParts(store: RowStore, first: string[] = []) {
   const ids: string[] = []
   const reading = createPartsReading({
     store,
     service: SERVICE,
-    unread: createUnreadRows(createMemoryLogger(), INTAKE_TABLE),
-    comesFirst: (queue) => first.includes(queue),
+    unreadableRows: createUnreadRows(createMemoryLogger(), INTAKE_TABLE),
+    isReadFirst: (queue) => first.includes(queue),
     handler: {
       job: ({ id }) => void ids.push(id),
       cancel: () => undefined,
-      unreadable: () => undefined,
+      unreadableJob: () => undefined,
       partsRead: () => undefined,
     },
-    pace: async () => undefined,
+    throttle: async () => undefined,
   })
   return { reading, ids }
 }
 
 describe('createPartsReading', () => {
-  // A queue without rows is no part of the table: its first job makes it one.
+  // A queue without rows has no part in the table; its first job adds one.
   const cases: [name: string, queues: string[]][] = [
-    ['the first of all', []],
-    ['one beside others', ['other']],
+    ['the first queue', []],
+    ['one of several queues', ['other']],
   ]
   for (const [name, queues] of cases) {
-    it(`misses no job of a queue that comes while it reads: ${name}`, async (t) => {
+    it(`misses no job of a queue that appears during the read: ${name}`, async (t) => {
       const table = createRowTable()
       for (const queue of queues) {
         const job = { ...makeJob({}), queue }
@@ -64,7 +64,7 @@
       }
       const version = (await intakeVersion(store))._unsafeUnwrap()
       const { reading, ids } = startParts(store)
-      t.true((await reading.next()).isOk())
+      t.true((await reading.resume()).isOk())
       const changes = await direct.changes(INTAKE_TABLE, version, 0)
       const later = changes._unsafeUnwrap().changes.map(({ key }) => key)
       const known = [...ids, ...later]
@@ -72,7 +72,7 @@
     })
   }
 
-  it('goes on from what it has read after a failure', async (t) => {
+  it('continues after a failure without reading any part twice', async (t) => {
     const table = createRowTable()
     const jobs = Array.from({ length: 16 }, () => makeJob({}))
     for (const job of jobs) table.put(intakeKey(job.queue, job.id), encodeJob(job))
@@ -87,9 +87,9 @@
       },
     }
     const { reading, ids } = startParts(store)
-    t.true((await reading.next()).isErr())
+    t.true((await reading.resume()).isErr())
     table.faults.refusedParts.clear()
-    t.true((await reading.next()).isOk())
+    t.true((await reading.resume()).isOk())
     t.deepEqual(ids.sort(), jobs.map(({ id }) => id).sort())
     const counts = reads.filter((part) => part !== 'queue/3' && part !== '')
     t.is(new Set(counts).size, counts.length)
@@ -102,14 +102,14 @@
     for (const job of [...others, ...own])
       table.put(intakeKey(job.queue, job.id), encodeJob(job))
     const { reading, ids } = startParts(table.forNode('n'), [QUEUE.name])
-    await reading.next()
+    await reading.resume()
     t.deepEqual(ids.slice(0, own.length).sort(), own.map(({ id }) => id).sort())
     t.is(ids.length, own.length + others.length)
   })
 })
 
 describe('readInheritedUntilDone', () => {
-  /** An authority that may not order, in a store that refuses. */
+  /** Starts a read for an authority that may not give orders, from a store that is down. */
   function startReading() {
     const table = createRowTable()
     const job = makeJob({})
@@ -134,9 +134,9 @@
     return { table, job, state, inherited }
   }
 
-  // An owner began with no job at all, because its lease had run out while it read; then the
-  // lease was confirmed, and nothing of the service ran any more.
-  it('goes on while the lease has run out, for it may be confirmed', async (t) => {
+  // If an expired lease ended the read, the owner would know of no job, and nothing of the
+  // service would run after the lease was confirmed again.
+  it('continues while the lease is expired, as it may be confirmed again', async (t) => {
     const { table, job, inherited } = startReading()
     await sleep(300)
     table.faults.down = false
--- a/src/scheduler/__tests__/unreadableRows.spec.ts
+++ b/src/scheduler/__tests__/unreadableRows.spec.ts
@@ -1,4 +1,4 @@
-/** What a new owner does about rows of its predecessor that it cannot read. */
+/** Guards against lost jobs and repeated tasks when a predecessor's rows cannot be read. */
 import { describe, it } from '../../../test/describe.js'
 import {
   SERVICE,
@@ -19,15 +19,15 @@
 const doneOf = (rig: JobRig): string[] =>
   rig.ledger.entries.flatMap(({ what, task }) => (what === 'done' ? task : []))
 
-/** Whether a line of the kind tells of the key. */
-const tells = ({ log }: JobRig, name: string, key: string): boolean =>
+/** Whether an event of this name has been logged for the key or job. */
+const hasEvent = ({ log }: JobRig, name: string, key: string): boolean =>
   log.events.some(
     (each) =>
       each.name === name && (each.fields['key'] === key || each.fields['job'] === key),
   )
 
-/** A rig whose owner is gone, with a job of which the first of two steps is done. */
-async function startHalfDone() {
+/** Starts a rig with a job whose first of two steps is done and whose owner has stopped. */
+async function startWithHalfDoneJob() {
   const rig = createJobRig()
   rig.addTarget('t1')
   rig.addTarget('t2')
@@ -50,8 +50,8 @@
   return { rig, job, key }
 }
 
-/** Replaces a row by a text, and gives back what it was. */
-function spoil(rig: JobRig, key: RowKey, text = '{"done":7}'): string {
+/** Overwrites a row, and returns its previous value. */
+function corruptRow(rig: JobRig, key: RowKey, text = '{"done":7}'): string {
   const before = rig.table.get(key)!.value
   rig.table.put(key, text)
   return before
@@ -60,10 +60,10 @@
 const firstStep = ({ id }: JobSpec): string[] => [0, 1, 2, 3].map((i) => `${id}.0.0.${i}`)
 
 describe('progress that cannot be read', () => {
-  // The new owner took the job for one that had not begun, and ran all of it again.
-  it('holds its job, which runs nothing anew and is shown as not over', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+  // Without progress a new owner would take the job for one that has not begun, and repeat it.
+  it('holds its job, which repeats no task and is not reported as finished', async (t) => {
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     const other = makeJob({ ms: 30, cpu: 400 })
     const owner = await rig.own()
     rig.submit(owner, other)
@@ -72,14 +72,14 @@
     for (const task of firstStep(job)) t.is(startsOf(rig, task), 1, task)
     t.is(owner.status(job.id), undefined)
     t.is(rig.outcomeOf(job), undefined)
-    t.true(tells(rig, 'rowInvalid', job.id))
-    t.true(tells(rig, 'jobHeld', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'jobHeld', job.id))
     await rig.stop()
   })
 
   it('is used once it can be read again', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    const before = spoil(rig, key)
+    const { rig, job, key } = await startWithHalfDoneJob()
+    const before = corruptRow(rig, key)
     await rig.own()
     await sleep(1200)
     rig.table.put(key, before)
@@ -90,9 +90,9 @@
     await rig.stop()
   })
 
-  it('has its job begin anew when it is removed by hand', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+  it('lets its job start from the beginning when it is removed by hand', async (t) => {
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     await rig.own()
     await sleep(1200)
     rig.table.remove(key)
@@ -101,9 +101,9 @@
     await rig.stop()
   })
 
-  it('does not keep its job from being cancelled', async (t) => {
-    const { rig, job, key } = await startHalfDone()
-    spoil(rig, key)
+  it('does not prevent its job from being cancelled', async (t) => {
+    const { rig, job, key } = await startWithHalfDoneJob()
+    corruptRow(rig, key)
     const owner = await rig.own()
     await sleep(300)
     t.true(owner.cancel(job.id))
@@ -114,15 +114,15 @@
 })
 
 describe('row of a job that cannot be read', () => {
-  // Its progress was removed as that of a job that is over: read again, it ran anew.
-  it('keeps the progress, and the job goes on once it can be read', async (t) => {
-    const { rig, job, key } = await startHalfDone()
+  // If its progress were removed like that of a finished job, the job would run again later.
+  it('keeps its progress, and the job continues once the row can be read', async (t) => {
+    const { rig, job, key } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
-    spoil(rig, intake, '\uFFFD')
+    corruptRow(rig, intake, '\uFFFD')
     await rig.own()
     await sleep(7500)
     t.truthy(rig.table.get(key))
-    t.true(tells(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
     rig.table.put(intake, encodeJob(job))
     t.true(await rig.settled([job], 14_000))
     t.is(rig.outcomeOf(job), 'completed')
@@ -131,10 +131,10 @@
     await rig.stop()
   })
 
-  it('runs nothing of a job that was cancelled meanwhile', async (t) => {
-    const { rig, job } = await startHalfDone()
+  it('starts no task if the job was cancelled in the meantime', async (t) => {
+    const { rig, job } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
-    spoil(rig, intake, 'null')
+    corruptRow(rig, intake, 'null')
     rig.table.put(cancelKey(job.queue, job.id), '{}')
     const startsBefore = startsOf(rig, `${job.id}.0.1.0`)
     await rig.own()
@@ -146,8 +146,8 @@
     await rig.stop()
   })
 
-  // The owner went on with the job, and its successor could not read it.
-  it('is written anew by an owner that knows the job', async (t) => {
+  // The owner can go on with the job, but its successor could not read it.
+  it('is restored by an owner that knows the job', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -156,19 +156,19 @@
     rig.submit(owner, job)
     await sleep(100)
     for (const text of ['null', '\uFFFD']) {
-      spoil(rig, key, text)
+      corruptRow(rig, key, text)
       await sleep(1500)
       t.is(rig.table.get(key)?.value, encodeJob(job), text)
     }
-    t.true(tells(rig, 'rowInvalid', job.id))
-    t.true(tells(rig, 'rowRestored', job.id))
+    t.true(hasEvent(rig, 'rowInvalid', job.id))
+    t.true(hasEvent(rig, 'rowRestored', job.id))
     t.true(await rig.settled([job], 6000))
     t.is(rig.outcomeOf(job), 'completed')
     t.is(findBrokenPromise(rig.ledger), undefined)
     await rig.stop()
   })
 
-  it('costs no other row of its part', async (t) => {
+  it('does not affect other rows of its part', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const jobs = Array.from({ length: 16 }, () => makeJob({ ms: 20, cpu: 100 }))
@@ -186,8 +186,8 @@
 })
 
 describe('row of the roster that cannot be read', () => {
-  /** A target out of reach with a run on it, whose row in the roster is spoilt. */
-  async function startCut(spoilt: string, listed: boolean) {
+  /** Starts a run on a target, makes it unreachable and corrupts its row in the roster. */
+  async function startWithUnreachableTarget(text: string, listed: boolean) {
     const rig = createJobRig()
     const cut = rig.addTarget('t1')
     const first = await rig.own()
@@ -199,16 +199,16 @@
     first.live = false
     if (!listed) rig.unlist('t1')
     rig.addTarget('t2')
-    spoil(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, spoilt)
+    corruptRow(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, text)
     return { rig, job }
   }
 
-  // The new owner did not know of the target, and started its tasks a second time at once.
+  // A new owner that ignored such a row would start the target's tasks a second time at once.
   for (const listed of [true, false]) {
     for (const text of ['{}', '\uFFFD', '{"address":"t1:70000"}']) {
       const where = listed ? 'that is listed' : 'that is not listed'
-      it(`lets no inherited task start early, of a target ${where}: ${text}`, async (t) => {
-        const { rig, job } = await startCut(text, listed)
+      it(`keeps inherited tasks of a target ${where} from starting early: ${text}`, async (t) => {
+        const { rig, job } = await startWithUnreachableTarget(text, listed)
         await rig.own()
         await sleep(2000)
         t.deepEqual(
@@ -222,8 +222,8 @@
     }
   }
 
-  it('is removed once all that may run there is over', async (t) => {
-    const { rig, job } = await startCut('{}', false)
+  it('is removed once all runs on the target have ended', async (t) => {
+    const { rig, job } = await startWithUnreachableTarget('{}', false)
     await rig.own()
     t.true(await rig.settled([job], 15_000))
     await sleep(500)
--- a/src/scheduler/finishedJobs.ts
+++ b/src/scheduler/finishedJobs.ts
@@ -1,7 +1,7 @@
 /**
- * Rows of jobs that are over. A job's row is moved out of the intake soon after its outcome
- * is durable, so that a takeover reads what is open and not what has been; what is left of
- * it is removed when callers do not ask for it any more.
+ * Moves and removes the rows of finished jobs. A job's row leaves the intake soon after its
+ * outcome is durable, so that a takeover reads open jobs only. The row kept for callers is
+ * removed after the retention period.
  */
 import {
   ENDED_TABLE,
@@ -32,16 +32,16 @@
   REMOVALS_PER_WRITE,
 } from './constants.js'
 
-/** Takes care of the rows of finished jobs until it is stopped. */
+/** Moves and removes rows of finished jobs until stopped. */
 export interface FinishedJobs {
-  /** The job's outcome is durable. */
+  /** Adds a job whose outcome is durable. */
   add(job: Job): void
-  /** Progress rows of jobs that the intake does not have any more. */
-  addLeftover(ids: string[]): void
+  /** Adds progress rows, by job id, whose jobs are no longer in the intake. */
+  addOrphanedProgress(ids: string[]): void
   stop(): Promise<void>
 }
 
-/** What it works with. */
+/** Dependencies of the handling of finished jobs. */
 export interface FinishedJobsOptions {
   store: RowStore
   service: string
@@ -50,17 +50,17 @@
   log: Logger
 }
 
-/** Something that waits until enough of its kind can share a write. */
-interface Waiting<T> {
-  each: T
+/** An item queued for a batched write. */
+interface Queued<T> {
+  item: T
   since: number
 }
 
 const isOutdated = (endedAtMs: number): boolean =>
   Date.now() - endedAtMs > KEEP_FINISHED_MS
 
-/** Whether a write is worth while: there is enough for it, or some has waited for long. */
-function isDue(group: Waiting<unknown>[]): boolean {
+/** Whether a group is large enough to write, or its oldest item has waited long enough. */
+function isDue(group: Queued<unknown>[]): boolean {
   const [oldest] = group
   if (oldest === undefined) return false
   return (
@@ -68,19 +68,19 @@
   )
 }
 
-/** A job that is over, with the row that is kept of it. */
-interface Finished {
+/** A finished job, with the row that is kept for callers. */
+interface FinishedJob {
   id: string
   queue: string
   ended: EndedJob
 }
 
-/** Undefined while the outcome is not durable. */
-function finishedOf({ spec, durableOutcome, endedAtMs }: Job): Finished | undefined {
+/** Undefined while the job's outcome is not durable. */
+function finishedOf({ spec, durableOutcome, endedAtMs }: Job): FinishedJob | undefined {
   if (!durableOutcome) return undefined
   const { id, queue, service, steps, acceptedAtMs } = spec
   const tasks = steps.reduce((sum, { count }) => sum + count, 0)
-  // A predecessor's row may not say when the job ended: it is then kept from now on.
+  // A predecessor's row may lack the end time; the retention period then starts now.
   const times = { acceptedAtMs, endedAtMs: endedAtMs ?? Date.now() }
   return {
     id,
@@ -89,28 +89,28 @@
   }
 }
 
-/** Starts looking after finished jobs. */
+/** Starts moving and removing rows of finished jobs. */
 export function createFinishedJobs(opts: FinishedJobsOptions): FinishedJobs {
   const { store, service, authority, book, log } = opts
   const stopping = createStopController()
   const startedAt = monotonicMs()
-  const unread = createUnreadRows(log, ENDED_TABLE)
-  /** Jobs whose rows are still in the intake, by part of the store. */
-  const toMove = new Map<string, Waiting<Finished>[]>()
-  /** Jobs whose progress rows are not needed any more. */
-  let toDrop: Waiting<string>[] = []
-  /** Jobs of this owner whose rows have moved, the first to end first. */
-  const moved: Finished[] = []
-  /** Parts in which predecessors may have left rows; undefined before they are listed. */
+  const unreadableRows = createUnreadRows(log, ENDED_TABLE)
+  /** Jobs whose rows are still in the intake, by part of the table. */
+  const pendingMoves = new Map<string, Queued<FinishedJob>[]>()
+  /** Ids of the jobs whose progress rows are no longer needed. */
+  let pendingRemovals: Queued<string>[] = []
+  /** Jobs of this owner whose rows have been moved, in order of their end. */
+  const moved: FinishedJob[] = []
+  /** Parts in which predecessors may have left rows; undefined until listed. */
   let inheritedParts: string[] | undefined
 
-  /** What could not be done is tried again at a later step. */
-  const noteFailure = (error: PlatformError): void =>
+  /** Logs a failure; a later step retries the operation. */
+  const logFailure = (error: PlatformError): void =>
     log.event('rowsNotCleared', { service, reason: describeError(error) })
 
   /**
-   * Makes a change that is right whoever makes it, and at any time: the jobs are over. False
-   * when it was not made, or is not known to be.
+   * Commits a change that is valid at any time and from any owner, since the jobs have ended.
+   * False when the change was not committed, or its result is unknown.
    */
   async function commit(
     puts: (RowKey & { value: string })[],
@@ -118,17 +118,17 @@
     conditions = [] as ReturnType<Authority['epoch']>[],
   ): Promise<boolean> {
     const res = await store.commit({ conditions, puts, removals })
-    if (res.isErr()) noteFailure(res.error)
+    if (res.isErr()) logFailure(res.error)
     return res.isOk() && res.value.committed
   }
 
-  /** Moves the rows of the part in which most wait. */
-  async function moveSome(): Promise<void> {
-    const due = [...toMove].filter(([, group]) => isDue(group))
+  /** Moves rows of the part in which the most jobs are waiting. */
+  async function moveBatch(): Promise<void> {
+    const due = [...pendingMoves].filter(([, group]) => isDue(group))
     const fullest = due.sort(([, a], [, b]) => b.length - a.length)[0]
     if (!fullest) return
     const [part, group] = fullest
-    const jobs = group.slice(0, MOVES_PER_WRITE).map(({ each }) => each)
+    const jobs = group.slice(0, MOVES_PER_WRITE).map(({ item }) => item)
     const puts = jobs.map(({ queue, id, ended }) => ({
       ...endedKey(queue, id),
       value: encodeEnded(ended),
@@ -139,26 +139,26 @@
     ])
     if (!(await commit(puts, removals))) return
     group.splice(0, jobs.length)
-    if (group.length === 0) toMove.delete(part)
+    if (group.length === 0) pendingMoves.delete(part)
     moved.push(...jobs)
     const since = monotonicMs()
-    toDrop.push(...jobs.map(({ id }) => ({ each: id, since })))
+    pendingRemovals.push(...jobs.map(({ id }) => ({ item: id, since })))
   }
 
   /**
-   * Removes progress rows, never before the job has left the intake: without its progress
-   * a successor would take the job for one that has not begun.
+   * Removes progress rows, but only after the job has left the intake: a successor would take
+   * a job in the intake without progress for one that has not begun.
    */
-  async function dropSome(): Promise<void> {
-    if (!isDue(toDrop)) return
-    const some = toDrop.slice(0, REMOVALS_PER_WRITE)
-    const removals = some.map(({ each }) => progressKey(service, each))
+  async function removeProgressBatch(): Promise<void> {
+    if (!isDue(pendingRemovals)) return
+    const batch = pendingRemovals.slice(0, REMOVALS_PER_WRITE)
+    const removals = batch.map(({ item }) => progressKey(service, item))
     const done = await commit([], removals, [authority.epoch()])
-    if (done) toDrop = toDrop.slice(some.length)
+    if (done) pendingRemovals = pendingRemovals.slice(batch.length)
   }
 
-  /** Forgets the first job that nobody asks for any more. */
-  async function clearOldest(): Promise<void> {
+  /** Removes the oldest finished job if its retention period has passed. */
+  async function removeOldest(): Promise<void> {
     const [oldest] = moved
     if (!oldest || !isOutdated(oldest.ended.endedAtMs)) return
     const { queue, id } = oldest
@@ -167,37 +167,40 @@
     book.remove(id)
   }
 
-  /** Clears what predecessors have left, a part at a time, once all of it is outdated. */
-  async function clearInherited(): Promise<void> {
+  /**
+   * Removes outdated rows left by predecessors, one part at a time. Starts one retention period
+   * after the takeover, when all of them are outdated.
+   */
+  async function removeInherited(): Promise<void> {
     if (monotonicMs() - startedAt < KEEP_FINISHED_MS) return
     if (!inheritedParts) {
       const parts = await store.parts(ENDED_TABLE)
-      if (parts.isErr()) return noteFailure(parts.error)
+      if (parts.isErr()) return logFailure(parts.error)
       inheritedParts = parts.value
     }
     const part = inheritedParts[0]
     if (part === undefined) return
     const rows = await store.read(ENDED_TABLE, part)
-    if (rows.isErr()) return noteFailure(rows.error)
+    if (rows.isErr()) return logFailure(rows.error)
     const outdated = rows.value.rows.filter(({ key, value }) => {
       const ended = decodeEnded(value)
-      // Its age is not known: a caller may still ask, and is not told that there is no job.
-      if (!ended) unread.note(key, 'it stays until it is removed by hand')
+      // Its age is unknown: a caller may still ask, and must not be told that no such job exists.
+      if (!ended) unreadableRows.note(key, 'the row is kept until it is removed by hand')
       return ended !== undefined && isOutdated(ended.endedAtMs)
     })
-    const some = outdated.slice(0, REMOVALS_PER_WRITE)
-    if (some.length > 0 && !(await commit([], some))) return
-    if (some.length === outdated.length) inheritedParts.shift()
+    const batch = outdated.slice(0, REMOVALS_PER_WRITE)
+    if (batch.length > 0 && !(await commit([], batch))) return
+    if (batch.length === outdated.length) inheritedParts.shift()
   }
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       await sleep(FINISHED_STEP_MS, stopping.signal)
       if (stopping.signal.aborted || !authority.isConfirmed()) continue
-      await moveSome()
-      await dropSome()
-      await clearOldest()
-      await clearInherited()
+      await moveBatch()
+      await removeProgressBatch()
+      await removeOldest()
+      await removeInherited()
     }
   }
   const task = run()
@@ -207,13 +210,13 @@
       const finished = finishedOf(job)
       if (!finished) return
       const { part } = intakeKey(finished.queue, finished.id)
-      const group = toMove.get(part) ?? []
-      group.push({ each: finished, since: monotonicMs() })
-      toMove.set(part, group)
+      const group = pendingMoves.get(part) ?? []
+      group.push({ item: finished, since: monotonicMs() })
+      pendingMoves.set(part, group)
     },
-    addLeftover(ids) {
+    addOrphanedProgress(ids) {
       const since = monotonicMs()
-      toDrop.push(...ids.map((each) => ({ each, since })))
+      pendingRemovals.push(...ids.map((item) => ({ item, since })))
     },
     async stop() {
       stopping.abort()
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -1,7 +1,7 @@
 /**
- * Takes new jobs on: those that callers hand in, and those that only the rows of the
- * intake tell of. A job waits while the ownership is not confirmed, and a request to
- * cancel is kept until its job comes.
+ * Admits new jobs, which arrive as offers from an entry or as rows of the intake table. A job
+ * is deferred while the ownership is not confirmed, and a cancel request that arrives before
+ * its job is kept until the job arrives.
  */
 import { createRowMirror } from '../directory/index.js'
 import type { RowMirror } from '../directory/index.js'
@@ -34,42 +34,43 @@
 import type { IntakeHandler } from './intakeReading.js'
 
 /**
- * Refused jobs that are remembered at most; callers that come back within seconds are some
- * hundred a queue.
+ * Largest number of refused jobs that are remembered; callers that retry within seconds are
+ * a few hundred per queue.
  */
-const MAX_EXPECTED = 5000
+const MAX_EXPECTED_JOBS = 5000
 
-/** Makes room for one more. */
-function forgetOldest(ids: Set<string>): void {
-  if (ids.size < MAX_EXPECTED) return
+/** Evicts the oldest id if the set is full. */
+function evictOldest(ids: Set<string>): void {
+  if (ids.size < MAX_EXPECTED_JOBS) return
   for (const id of ids) return void ids.delete(id)
 }
 
-/** How the owner heard of something: at once from the entry, or by its rows in the store. */
+/** How the owner learned of a job or cancel: from an entry, or from a row in the store. */
 type Source = 'told' | 'read'
 
-/** New jobs of one service. */
+/** Admission of the new jobs of one service. */
 export interface NewJobs {
   /**
-   * Takes on a job whose row is durable. One whose row is older than the takeover and was
-   * not among the open ones is over: an offer that a paused node sends late is for nothing.
+   * Admits a job whose row is durable. Ignores a row that is older than the takeover: an open
+   * job of that age is read from the intake, and any other has ended and was offered late by
+   * a node that had been paused.
    */
   offer(job: JobSpec, rowVersion: number): void
-  /** Notes the work of a job that was refused for an outage of the store. */
+  /** Counts a job that was refused because of a store outage towards the demand. */
   expect(job: JobSpec): void
-  /** False when the job is not known yet; it is cancelled when it comes. */
+  /** Cancels a job. False when it is not known yet; it is then cancelled on arrival. */
   cancel(id: string): boolean
-  /** Takes on the jobs that came while the ownership was not confirmed. */
-  takeOffered(): void
-  /** Jobs of a queue that came while it was not; the book does not have them yet. */
-  offeredOf(queue: string): number
-  /** Whether all jobs of a queue are known, but for the newest. */
+  /** Retries the admission of deferred jobs if the ownership is confirmed. */
+  admitDeferred(): void
+  /** Number of deferred jobs of a queue, which are not in the job book yet. */
+  countDeferred(queue: string): number
+  /** Whether all jobs of a queue are known, except those of the last few seconds. */
   knowsAll(queue: string): boolean
-  /** Reads what the predecessor has left, and follows the intake from the version on. */
+  /** Reads the predecessor's jobs, and follows the changes of the intake after `version`. */
   follow(version: number): RowMirror
 }
 
-/** What the taking on of new jobs works with. */
+/** Dependencies of the admission of new jobs. */
 export interface NewJobsOptions {
   store: RowStore
   service: string
@@ -79,55 +80,65 @@
   held: HeldJobs
   inherited: InheritedJobs
   queueRows: QueueRows
-  /** Queues whose jobs the service gets, as configured now. */
+  /** Names of the queues that are currently configured for the service. */
   queues(): string[]
-  /** Whether `queueRows` has all queues of which the predecessor may have started jobs. */
-  queuesKnown: boolean
-  /** Rows of the intake that cannot be read. */
-  unread: UnreadRows
+  /** Whether `queueRows` has every queue from which the predecessor may have started jobs. */
+  hasAllQueueRows: boolean
+  /** Tracks the rows of the intake that cannot be read. */
+  unreadableRows: UnreadRows
   log: Logger
-  /** The row of a job, which the book may have, cannot be read. */
-  spoilt(id: string): void
-  /** A job has been taken on. */
-  taken(): void
-  /** More is asked of the service than before. */
-  arrived(): void
-  /** All that the predecessor may have started is known. */
+  /** Called when the row of a job cannot be read; the job may be in the job book. */
+  rowUnreadable(id: string): void
+  /** Called after a job has been admitted. */
+  admitted(): void
+  /** Called after a job has added to the demand of the service. */
+  demandArrived(): void
+  /** Called once every job that the predecessor may have started is known. */
   inheritedKnown(): void
-  /** All that it has left has been read. */
+  /** Called once all jobs left by the predecessor have been read. */
   inheritedRead(): void
 }
 
-/** Creates the intake of one owner; nothing is followed yet. */
+/** Creates the admission of one owner; it reads nothing until `follow` is called. */
 export function createNewJobs(opts: NewJobsOptions): NewJobs {
-  const { store, service, authority, book, demand, held, inherited, unread, log } = opts
+  const {
+    store,
+    service,
+    authority,
+    book,
+    demand,
+    held,
+    inherited,
+    unreadableRows,
+    log,
+  } = opts
   const { queueRows } = opts
-  /** Jobs that came while the ownership was not confirmed, or the row of their queue missing. */
-  const offered = new Map<string, { job: JobSpec; from: Source }>()
-  /** Jobs that were cancelled before they came; of any service, so some never do. */
+  /** Jobs that wait for the ownership to be confirmed, or for the row of their queue. */
+  const deferred = new Map<string, { job: JobSpec; from: Source }>()
+  /** Ids cancelled before the job arrived; jobs of other services among them never arrive. */
   const cancelledEarly = new Set<string>()
-  /** Up to here all open jobs were read when the service was taken over. */
+  /** Store version at the takeover; open jobs of older rows are read by the full read. */
   let takeoverVersion = 0
-  /** Ends the whole reading that is under way. */
-  let wholeReading: AbortController | undefined
-  /** Queues that the whole reading has still to read; undefined before it knows. */
-  let unreadQueues: ReadonlySet<string> | undefined
+  /** Aborts the full read in progress. */
+  let fullRead: AbortController | undefined
+  /** Queues that the full read has yet to read; undefined until it has listed them. */
+  let remainingQueues: ReadonlySet<string> | undefined
   let mirror: RowMirror | undefined
-  /** Steady time at which the first reading began, in ms. */
+  /** Monotonic time at which the first full read began, in ms. */
   let followedAt = -Infinity
-  /** Jobs that were refused and have not come yet; their arrival is noted. */
+  /** Refused jobs that have not arrived yet; the demand already includes them. */
   const expected = new Set<string>()
 
   /**
-   * Takes a new job on. Out of touch with the store it waits: a successor may have it,
-   * and does not wait for this owner with jobs that came after the takeover.
+   * Admits a new job, or defers it while the ownership is not confirmed: a successor may have
+   * taken over, and it starts jobs newer than its takeover without waiting for this owner.
    */
-  function take(job: JobSpec, from: Source): void {
-    if (book.jobs.has(job.id) || held.learn(job)) return
-    if (inherited.concerns(job)) return takeInherited(job)
+  function admit(job: JobSpec, from: Source): void {
+    if (book.jobs.has(job.id) || held.updateSpec(job)) return
+    if (inherited.isInherited(job)) return adoptInherited(job)
     queueRows.add(job.queue)
     if (!authority.isConfirmed() || !queueRows.has(job.queue)) {
-      offered.set(job.id, { job, from })
+      deferred.set(job.id, { job, from })
       return
     }
     const taken = book.add(job)
@@ -135,33 +146,33 @@
     if (cancelledEarly.delete(job.id)) book.cancel(job.id)
     const lateMs = Math.max(0, Date.now() - job.acceptedAtMs)
     log.event('jobTaken', { job: job.id, queue: job.queue, service, from, lateMs })
-    opts.taken()
-    opts.arrived()
+    opts.admitted()
+    opts.demandArrived()
   }
 
-  /** Takes a job of the predecessor on, and the request to cancel it if that came before. */
-  function takeInherited(job: JobSpec): void {
+  /** Adopts a job of the predecessor, and cancels it if a cancel request arrived first. */
+  function adoptInherited(job: JobSpec): void {
     queueRows.add(job.queue)
-    inherited.take(job)
+    inherited.adopt(job)
     if (cancelledEarly.delete(job.id)) cancel(job.id, 'read')
   }
 
   /**
-   * Notes the work of a job that the store could not take, so that VMs are there when it
-   * can again: of a turn of 750 jobs that began a second before an outage of 5.6 s, 55 were
-   * in time, because no VM had come for it.
+   * Counts a job that the store could not accept towards the demand, so that VMs are ready
+   * when the store is back. Otherwise only 55 of 750 jobs are in time in a burst that begins 1 s
+   * before an outage of 5.6 s, because no VM is added for them.
    */
   function expect(job: JobSpec): void {
     if (book.jobs.has(job.id) || expected.has(job.id)) return
-    forgetOldest(expected)
+    evictOldest(expected)
     expected.add(job.id)
     const now = monotonicMs()
     demand.arrived(createJob(job, now), now)
     log.event('jobExpected', { job: job.id, queue: job.queue, service })
-    opts.arrived()
+    opts.demandArrived()
   }
 
-  /** A request to cancel may come before the job that it is for; false in that case. */
+  /** Cancels a job; false when the request arrives before the job. */
   function cancel(id: string, from: Source): boolean {
     if (held.cancel(id)) return true
     const known = book.jobs.get(id)
@@ -175,28 +186,29 @@
   }
 
   function applyRow(part: string, key: string, value: string | undefined): void {
-    if (value === undefined) return forgetRow(part, key)
+    if (value === undefined) return applyRemoval(part, key)
     const entry = decodeIntake({ part, key }, value)
     if (entry.kind === 'cancel') return void cancel(entry.id, 'read')
     if (entry.kind === 'invalid') {
-      unread.note(key, entry.reason)
-      return opts.spoilt(entry.id)
+      unreadableRows.note(key, entry.reason)
+      return opts.rowUnreadable(entry.id)
     }
-    unread.clear(key)
-    if (entry.job.service === service) take(entry.job, 'read')
+    unreadableRows.clear(key)
+    if (entry.job.service === service) admit(entry.job, 'read')
   }
 
-  /** A request whose row has been cleared is for no job that may still come. */
-  function forgetRow(part: string, key: string): void {
+  /** Handles the removal of a row; a job whose cancel row is gone cannot arrive any more. */
+  function applyRemoval(part: string, key: string): void {
     const entry = decodeIntake({ part, key }, '')
     if (entry.kind === 'cancel') return void cancelledEarly.delete(entry.id)
-    unread.clear(key)
+    unreadableRows.clear(key)
     held.drop(entry.id)
   }
 
   /**
-   * Waits until the lease was renewed lately, so that a reading does not keep the process and its
-   * link from that. It goes on without after a while: the store may refuse our own row alone.
+   * Waits for a recent lease renewal, so that reading does not delay the next one by taking up
+   * the process and its link. Stops waiting after `READ_PATIENCE_MS`, because the store may
+   * refuse writes of the lease row only.
    */
   async function waitForLease(signal: AbortSignal): Promise<void> {
     const endsAt = monotonicMs() + READ_PATIENCE_MS
@@ -206,25 +218,28 @@
     }
   }
 
-  /** Lets the queues whose parts are left tell whether all that may run is known. */
-  function noteLeft(
-    left: ReadonlySet<string>,
-    comesFirst: (queue: string) => boolean,
+  /**
+   * Notes the queues that are left to read. Once none of them is among those that are read
+   * first, all jobs that may be running are known.
+   */
+  function updateRemaining(
+    remaining: ReadonlySet<string>,
+    isReadFirst: (queue: string) => boolean,
   ): void {
-    unreadQueues = left
+    remainingQueues = remaining
     inherited.flush()
-    const isKnown = ![...left].some(comesFirst)
+    const isKnown = ![...remaining].some(isReadFirst)
     if (!isKnown || inherited.isKnown()) return
-    inherited.known()
+    inherited.markKnown()
     opts.inheritedKnown()
   }
 
   /**
-   * Reads the whole intake beside the changes that come meanwhile, and goes on until it is
-   * done. Read before the changes, the parts of a busy store kept an owner from hearing of
-   * what was accepted and cancelled for 16 s.
+   * Reads the whole intake, with retries, while the changes are followed concurrently. If the
+   * changes waited for this read, an owner with a busy store would not learn of accepted and
+   * cancelled jobs for 16 s.
    */
-  async function readWhole(signal: AbortSignal): Promise<void> {
+  async function readAll(signal: AbortSignal): Promise<void> {
     const beganAt = monotonicMs()
     let jobs = 0
     let cancels = 0
@@ -232,92 +247,93 @@
       job(job) {
         jobs++
         const isInherited = !inherited.isKnown() && queueRows.has(job.queue)
-        if (isInherited) takeInherited(job)
-        else take(job, 'read')
+        if (isInherited) adoptInherited(job)
+        else admit(job, 'read')
       },
       cancel(id) {
         cancels++
         cancel(id, 'read')
       },
-      unreadable(id) {
-        if (inherited.isComplete() || book.jobs.has(id)) opts.spoilt(id)
-        else inherited.unreadable(id)
+      unreadableJob(id) {
+        if (inherited.isComplete() || book.jobs.has(id)) opts.rowUnreadable(id)
+        else inherited.holdUnreadable(id)
       },
-      partsRead: (left) => noteLeft(left, comesFirst),
+      partsRead: (remaining) => updateRemaining(remaining, isReadFirst),
     }
     const isTakeover = !inherited.isComplete()
     const first = new Set([...queueRows.all(), ...opts.queues()])
-    const comesFirst = (queue: string): boolean => !opts.queuesKnown || first.has(queue)
-    async function pace(isFirst: boolean): Promise<void> {
+    const isReadFirst = (queue: string): boolean =>
+      !opts.hasAllQueueRows || first.has(queue)
+    async function throttle(isFirst: boolean): Promise<void> {
       if (isTakeover && !isFirst) await sleep(READ_OTHERS_PAUSE_MS, signal)
       await waitForLease(signal)
     }
     const reading = createPartsReading({
       store,
       service,
-      unread,
-      comesFirst,
+      unreadableRows,
+      isReadFirst,
       handler,
-      pace,
+      throttle,
     })
     while (!signal.aborted) {
-      const res = await reading.next()
+      const res = await reading.resume()
       if (res.isOk()) break
       if (isTakeover)
         log.event('takeoverWaits', { service, reason: describeError(res.error) })
       await sleep(jittered(FLUSH_RETRY_MS), signal)
     }
     if (signal.aborted) return
-    noteLeft(new Set(), comesFirst)
-    inherited.complete()
+    updateRemaining(new Set(), isReadFirst)
+    inherited.markComplete()
     opts.inheritedRead()
     if (isTakeover) return
     const tookMs = Math.round(monotonicMs() - beganAt)
     log.event('intakeRead', { service, tookMs, jobs, cancels })
   }
 
-  /** Begins a whole reading; what an earlier one has still to read, this one reads. */
-  function startWhole(): void {
-    wholeReading?.abort()
-    wholeReading = createStopController()
-    unreadQueues = undefined
-    void readWhole(wholeReading.signal)
+  /** Starts a full read, which replaces one that is still in progress. */
+  function startFullRead(): void {
+    fullRead?.abort()
+    fullRead = createStopController()
+    remainingQueues = undefined
+    void readAll(fullRead.signal)
   }
 
-  /** Begins a whole reading; the version to follow the changes from, undefined on failure. */
-  async function readAgain(): Promise<number | undefined> {
+  /** Starts a full read; returns the version to follow changes from, undefined on failure. */
+  async function restartFullRead(): Promise<number | undefined> {
     const version = await intakeVersion(store)
     if (version.isErr()) return undefined
-    startWhole()
+    startFullRead()
     return version.value
   }
 
   return {
     offer(job, rowVersion) {
-      if (rowVersion > takeoverVersion) take(job, 'told')
+      if (rowVersion > takeoverVersion) admit(job, 'told')
     },
     expect,
     cancel: (id) => cancel(id, 'told'),
-    takeOffered() {
+    admitDeferred() {
       if (!authority.isConfirmed()) return
-      const some = [...offered.values()]
-      offered.clear()
-      for (const { job, from } of some) take(job, from)
+      const entries = [...deferred.values()]
+      deferred.clear()
+      for (const { job, from } of entries) admit(job, from)
     },
-    offeredOf(queue) {
-      const jobs = [...offered.values()].map(({ job }) => job)
+    countDeferred(queue) {
+      const jobs = [...deferred.values()].map(({ job }) => job)
       const waiting = jobs.filter(({ id }) => !book.jobs.has(id))
       return waiting.filter((job) => job.queue === queue).length
     },
     knowsAll(queue) {
-      const isRead = unreadQueues !== undefined && !unreadQueues.has(queue)
+      const isRead = remainingQueues !== undefined && !remainingQueues.has(queue)
       const freshAt = Math.max(followedAt, mirror?.freshAt() ?? -Infinity)
       return isRead && monotonicMs() - freshAt < WAITING_FRESH_MS
     },
     follow(version) {
       takeoverVersion = version
       followedAt = monotonicMs()
-      startWhole()
+      startFullRead()
       const changes = createRowMirror({
         store,
         table: INTAKE_TABLE,
@@ -327,15 +343,15 @@
         pauseMs: INTAKE_POLL_MS,
         log,
         onRow: applyRow,
-        onGap: readAgain,
+        onGap: restartFullRead,
       })
       mirror = changes
       return {
         ...changes,
         async stop() {
-          wholeReading?.abort()
+          fullRead?.abort()
           await changes.stop()
-          wholeReading?.abort()
+          fullRead?.abort()
         },
       }
     },
--- a/src/scheduler/takeover.ts
+++ b/src/scheduler/takeover.ts
@@ -1,4 +1,4 @@
-/** Reads what a new owner of a service must know before it hears of any job. */
+/** Reads the state that a new owner of a service needs before it handles any job. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { RowStore } from '../ports/index.js'
@@ -8,30 +8,30 @@
 import { createUnreadRows, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger, PlatformError } from '../shared/index.js'
 import { FLUSH_RETRY_MS } from './constants.js'
-import { intakeVersion, once } from './intakeReading.js'
+import { cacheSuccess, intakeVersion } from './intakeReading.js'
 import { QUEUES_TABLE } from './queueRows.js'
 import { ROSTER_TABLE, decodeRosterEntry } from './roster.js'
 import type { InheritedEntry } from './roster.js'
 
-/** The progress of jobs, and the ids of those whose row cannot be read. */
+/** Progress rows by job id, and the ids of the jobs whose progress row cannot be read. */
 export interface InheritedProgress {
   progress: Map<string, { progress: Progress; version: number }>
-  progressUnread: Set<string>
+  unreadableProgress: Set<string>
 }
 
-/** What a predecessor has left in the store beside the jobs themselves. */
-export interface Inherited extends InheritedProgress {
+/** State that a predecessor has left in the store, apart from the jobs themselves. */
+export interface InheritedState extends InheritedProgress {
   roster: InheritedEntry[]
-  /** Queues whose jobs may have been started. */
+  /** Queues from which jobs may have been started. */
   queues: string[]
-  /** Version of the intake to continue from: jobs of older rows are to be read. */
+  /** Version after which changes of the intake are followed; older rows are read in full. */
   version: number
 }
 
-/** What an owner knows that has lost its service before it had read anything. */
-const NOTHING_INHERITED: Inherited = {
+/** State of an owner that lost its service before it had read anything. */
+const NOTHING_INHERITED: InheritedState = {
   progress: new Map(),
-  progressUnread: new Set(),
+  unreadableProgress: new Set(),
   roster: [],
   queues: [],
   version: 0,
@@ -44,19 +44,19 @@
 ): Promise<Result<InheritedProgress, PlatformError>> {
   const rows = await store.read(PROGRESS_TABLE, service)
   if (rows.isErr()) return err(rows.error)
-  const unread = createUnreadRows(log, PROGRESS_TABLE)
-  const progress: Inherited['progress'] = new Map()
-  const progressUnread = new Set<string>()
+  const unreadableRows = createUnreadRows(log, PROGRESS_TABLE)
+  const progress: InheritedState['progress'] = new Map()
+  const unreadableProgress = new Set<string>()
   for (const { key, value, version } of rows.value.rows) {
     const decoded = decodeProgress(value)
     if (decoded) {
       progress.set(key, { progress: decoded, version })
       continue
     }
-    progressUnread.add(key)
-    unread.note(key, 'its job is held until the row can be read or is removed')
+    unreadableProgress.add(key)
+    unreadableRows.note(key, 'its job is held until the row can be read or is removed')
   }
-  return ok({ progress, progressUnread })
+  return ok({ progress, unreadableProgress })
 }
 
 async function readRoster(
@@ -66,57 +66,58 @@
 ): Promise<Result<InheritedEntry[], PlatformError>> {
   const roster = await store.read(ROSTER_TABLE, service)
   if (roster.isErr()) return err(roster.error)
-  const unread = createUnreadRows(log, ROSTER_TABLE)
+  const unreadableRows = createUnreadRows(log, ROSTER_TABLE)
   const entries = roster.value.rows.map(decodeRosterEntry)
   for (const { id, address } of entries) {
-    if (address === undefined) unread.note(id, 'its target counts as out of reach')
+    if (address === undefined)
+      unreadableRows.note(id, 'its target is treated as unreachable')
   }
   return ok(entries)
 }
 
-/** Reads the rows under the new epoch; what was read stays read when another call fails. */
-function createInheritedReading(
+/** Creates a read of the rows under the new epoch; a retry repeats only the failed calls. */
+function createInheritedReader(
   store: RowStore,
   service: string,
   log: Logger,
-): () => Promise<Result<Inherited, PlatformError>> {
-  const progress = once(() => readProgress(store, service, log))
-  const roster = once(() => readRoster(store, service, log))
-  const queues = once(() => store.read(QUEUES_TABLE, service))
-  const version = once(() => intakeVersion(store))
+): () => Promise<Result<InheritedState, PlatformError>> {
+  const progress = cacheSuccess(() => readProgress(store, service, log))
+  const roster = cacheSuccess(() => readRoster(store, service, log))
+  const queues = cacheSuccess(() => store.read(QUEUES_TABLE, service))
+  const version = cacheSuccess(() => intakeVersion(store))
   return async () => {
-    const [known, entries, rows, at] = await Promise.all([
+    const [progressRes, rosterRes, queuesRes, versionRes] = await Promise.all([
       progress(),
       roster(),
       queues(),
       version(),
     ])
-    if (known.isErr()) return err(known.error)
-    if (entries.isErr()) return err(entries.error)
-    if (rows.isErr()) return err(rows.error)
-    return at.map((each) => ({
-      ...known.value,
-      roster: entries.value,
-      queues: rows.value.rows.map(({ key }) => key),
+    if (progressRes.isErr()) return err(progressRes.error)
+    if (rosterRes.isErr()) return err(rosterRes.error)
+    if (queuesRes.isErr()) return err(queuesRes.error)
+    return versionRes.map((each) => ({
+      ...progressRes.value,
+      roster: rosterRes.value,
+      queues: queuesRes.value.rows.map(({ key }) => key),
       version: each,
     }))
   }
 }
 
 /**
- * Reads until it is done; nothing when the ownership is lost before. A lease that has run out
- * is no reason to end: it may be confirmed again, and an owner that then knew of nothing
- * would leave all jobs waiting, or run anew what was done.
+ * Reads the predecessor's state, with retries. Returns an empty state if the ownership is lost
+ * or the signal aborted first. An expired lease does not end the retries: it may be confirmed
+ * again, and an owner without this state would leave all jobs waiting or repeat finished tasks.
  */
 export async function readInheritedUntilDone(opts: {
   store: RowStore
   authority: Authority
   log: Logger
   signal: AbortSignal
-}): Promise<Inherited> {
+}): Promise<InheritedState> {
   const { store, authority, log, signal } = opts
   const { service } = authority
-  const read = createInheritedReading(store, service, log)
+  const read = createInheritedReader(store, service, log)
   for (;;) {
     const res = await read()
     if (res.isOk()) return res.value
@@ -129,9 +130,9 @@
 }
 
 /**
- * Whether the rows of queues tell of all that may have been started. The version before them
- * wrote none.
+ * Whether the queue rows cover every job that may have been started. Owners of an older software
+ * version wrote no such rows.
  */
-export function tellsAllQueues({ queues, roster, progress }: Inherited): boolean {
+export function hasAllQueueRows({ queues, roster, progress }: InheritedState): boolean {
   return queues.length > 0 || (roster.length === 0 && progress.size === 0)
 }
