--- a/src/ownership/__tests__/lateLease.spec.ts
+++ b/src/ownership/__tests__/lateLease.spec.ts
@@ -76,7 +76,7 @@
 describe('createLeaseLength', () => {
   const after = (gaps: number[]): number => {
     const length = createLeaseLength(createMemoryLogger())
-    gaps.forEach(length.renewed)
+    gaps.forEach(length.recordRenewal)
     return length.ms()
   }
 
--- a/src/ownership/__tests__/ownership.spec.ts
+++ b/src/ownership/__tests__/ownership.spec.ts
@@ -4,7 +4,11 @@
 import { startOwnerNode } from '../../../test/ownerNodes.js'
 import type { OwnerNode } from '../../../test/ownerNodes.js'
 import { sleep } from '../../shared/index.js'
-import { EPOCH_MEND_MS, FORGET_NODE_MS, NODE_LEASE_MS } from '../index.js'
+import {
+  UNREADABLE_EPOCH_WAIT_MS,
+  DEAD_NODE_RETENTION_MS,
+  NODE_LEASE_MS,
+} from '../index.js'
 
 const SERVICES = ['a', 'b', 'c', 'd']
 
@@ -57,7 +61,7 @@
     const former = node.authorities.get('a')!
     table.put(key, '{"holder":"n9","term":"12"}')
     former.lost('a write was refused')
-    await sleep(EPOCH_MEND_MS - 1500)
+    await sleep(UNREADABLE_EPOCH_WAIT_MS - 1500)
     t.false(node.authorities.has('a'))
     await sleep(4000)
     const next = node.authorities.get('a')!
@@ -127,7 +131,7 @@
     const nodes = ['n1', 'n2'].map((id) => startNode(table, id))
     const row = { life: 'gone', address: 'x:1', hall: 'h1', owns: ['a'], leaving: false }
     table.put({ table: 'nodes', part: 'n0', key: 'n0' }, JSON.stringify(row))
-    await sleep(FORGET_NODE_MS + 2000)
+    await sleep(DEAD_NODE_RETENTION_MS + 2000)
     t.is(table.get({ table: 'nodes', part: 'n0', key: 'n0' }), undefined)
     await Promise.all(nodes.map((node) => node.stop()))
   })
--- a/src/ownership/__tests__/partialOutage.spec.ts
+++ b/src/ownership/__tests__/partialOutage.spec.ts
@@ -14,7 +14,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { PlatformError, createMemoryLogger, sleep } from '../../shared/index.js'
 import { NODE_LEASE_MS, createNodeRegistry } from '../index.js'
-import { createNodeRowFollower } from '../nodeRowFollower.js'
+import { createNodeRowReader } from '../nodeRowReader.js'
 
 function startNodes(count: number) {
   const table = createRowTable()
@@ -75,7 +75,7 @@
     await sleep(600)
     table.faults.refusedParts.add('n1')
     await sleep(800)
-    t.true(await nodes[1]!.registry.reread('n1'))
+    t.true(await nodes[1]!.registry.refreshNode('n1'))
     await stop()
   })
 
@@ -87,7 +87,7 @@
     const lost = new PlatformError('no answer', {
       props: { step: 'store.read', peer: 'sim', failure: 'unknown' as const },
     })
-    const follower = createNodeRowFollower({
+    const follower = createNodeRowReader({
       ...store,
       read: async (name, part) => (part === 'n1' ? err(lost) : store.read(name, part)),
     })
--- a/src/ownership/authority.ts
+++ b/src/ownership/authority.ts
@@ -39,7 +39,7 @@
 }
 
 /** A service that this node owns. */
-export interface Held {
+export interface OwnedService {
   /** Undefined while it starts. */
   owner: Owner | undefined
   /** Version of the epoch row. */
@@ -53,34 +53,34 @@
 }
 
 /** The authority over a service, as long as it is held. */
-export function authorityOf(opts: {
+export function createAuthority(opts: {
   service: string
-  held: Held
+  owned: OwnedService
   predecessorMayLive: boolean
   predecessorLeaseOverAt: number
   now(): number
   lost(reason: string): void
 }): Authority {
-  const { service, held, now, lost } = opts
+  const { service, owned, now, lost } = opts
   return {
     service,
-    term: held.row.term,
+    term: owned.row.term,
     predecessorMayLive: opts.predecessorMayLive,
     predecessorLeaseOverAt: opts.predecessorLeaseOverAt,
-    epoch: () => ({ ...epochKey(service), version: held.version }),
+    epoch: () => ({ ...epochKey(service), version: owned.version }),
     adoptEpoch(current) {
       const { table, part, key } = epochKey(service)
       const row = current.find(
         (each) => each.table === table && each.part === part && each.key === key,
       )
-      if (held.lost || !row || !isSameOwner(row.value, held.row)) return false
-      held.version = Math.max(held.version, row.version)
+      if (owned.lost || !row || !isSameOwner(row.value, owned.row)) return false
+      owned.version = Math.max(owned.version, row.version)
       return true
     },
-    mayOrder: () => !held.lost && now() < held.confirmedUntil + GRACE_MS,
-    isConfirmed: () => !held.lost && now() < held.confirmedUntil,
-    leaseLeftMs: () => (held.lost ? 0 : held.confirmedUntil - now()),
-    isLost: () => held.lost,
+    mayOrder: () => !owned.lost && now() < owned.confirmedUntil + GRACE_MS,
+    isConfirmed: () => !owned.lost && now() < owned.confirmedUntil,
+    leaseLeftMs: () => (owned.lost ? 0 : owned.confirmedUntil - now()),
+    isLost: () => owned.lost,
     lost,
   }
 }
--- a/src/ownership/claimRules.ts
+++ b/src/ownership/claimRules.ts
@@ -1,10 +1,10 @@
 /** Who may claim a service, judged by the rows of the nodes. */
 import { NODE_LEASE_MS } from './constants.js'
 import type { EpochRow } from './epochRow.js'
-import type { Member, Members } from './memberBook.js'
+import type { Member, Membership } from './membership.js'
 
 /** Whether another live node says that it owns the service. */
-export function isOwnedElsewhere(nodes: Members, service: string): boolean {
+export function isOwnedElsewhere(nodes: Membership, service: string): boolean {
   const owner = nodes.ownerOf(service)
   return owner !== undefined && owner.id !== nodes.self.id
 }
@@ -18,7 +18,7 @@
  * takes one of them. Spread, a day with a cut was worth 0.23, 0.24, 0.25, 0.34 and 0.35 in
  * five plays, two of them with too little served; by name 0.29, 0.30, 0.30 and 0.34, none.
  */
-function inOrder(candidates: Member[], counts: Map<string, number>): Member[] {
+function sortByLoad(candidates: Member[], counts: Map<string, number>): Member[] {
   const loadOf = (each: Member): number => ((counts.get(each.id) ?? 0) + 1) / each.room
   return [...candidates].sort((a, b) => loadOf(a) - loadOf(b))
 }
@@ -27,12 +27,12 @@
  * Position of this node among those that may take a service; 0 comes first. Services that
  * have no owner at the same time are dealt out in their order, so that each goes to
  * another node.
- * @param place place of the service among those that have no owner
+ * @param position place of the service among those that have no owner
  * @param ownCount services that this node owns or claims
  */
 export function rankAmongCandidates(
-  nodes: Members,
-  place: number,
+  nodes: Membership,
+  position: number,
   ownCount: number,
 ): number | undefined {
   const candidates = nodes.candidates()
@@ -40,11 +40,11 @@
   if (candidates.find((each) => each.id === id)?.life !== life) return undefined
   const counts = new Map(candidates.map((each) => [each.id, each.owns.length]))
   counts.set(id, ownCount)
-  for (let earlier = 0; earlier < place; earlier++) {
-    const first = inOrder(candidates, counts)[0]
+  for (let earlier = 0; earlier < position; earlier++) {
+    const first = sortByLoad(candidates, counts)[0]
     if (first) counts.set(first.id, (counts.get(first.id) ?? 0) + 1)
   }
-  return inOrder(candidates, counts).findIndex((each) => each.id === id)
+  return sortByLoad(candidates, counts).findIndex((each) => each.id === id)
 }
 
 /**
@@ -52,7 +52,7 @@
  * @param unownedMs time for which no live node has listed the service
  */
 export function isHolderGone(
-  nodes: Members,
+  nodes: Membership,
   row: EpochRow,
   service: string,
   unownedMs: number,
@@ -69,13 +69,13 @@
  * before the write that made the row that we have seen. A row that does not list the service
  * may be older than the claim, which we have seen just now.
  */
-export function leaseOverAt(
-  nodes: Members,
+export function predecessorLeaseEndsAt(
+  nodes: Membership,
   row: EpochRow | undefined,
   service: string,
   now: number,
 ): number {
-  if (!mayPredecessorLive(nodes, row)) return -Infinity
+  if (!mayPredecessorBeActive(nodes, row)) return -Infinity
   const member = nodes.members().find(({ id }) => id === row?.node)
   // A row is removed only long after its lease.
   if (!member) return -Infinity
@@ -84,7 +84,10 @@
 }
 
 /** Whether the former owner may still act: only a silent one can. */
-export function mayPredecessorLive(nodes: Members, row: EpochRow | undefined): boolean {
+export function mayPredecessorBeActive(
+  nodes: Membership,
+  row: EpochRow | undefined,
+): boolean {
   if (!row || row.node === '' || row.node === nodes.self.id) return false
   const member = nodes.members().find(({ id }) => id === row.node)
   return member === undefined || member.life === row.life
--- a/src/ownership/constants.ts
+++ b/src/ownership/constants.ts
@@ -16,9 +16,9 @@
  * one of them may fail. With a fixed lease of 1.2 s an owner on 0.12 of a core lapsed 3 to 14
  * times in 80 s, and what it had begun was begun anew by another as weak.
  */
-export const LATE_LEASE_GAPS = 2.5
+export const LATE_LEASE_INTERVALS = 2.5
 /** Renewals by which the lease is judged; the longest of them is left out, as a single pause. */
-export const LATE_LEASE_RENEWALS = 8
+export const LATE_LEASE_SAMPLES = 8
 /** Time between two renewals, and between two looks at the other nodes, in ms. */
 export const RENEW_MS = 300
 /**
@@ -46,7 +46,7 @@
  * Nodes that look at the others as often as owners do: those that come first for the next
  * service. More than the owners of a data hall, so that some are left when it is cut off.
  */
-export const NEXT_OWNERS = 8
+export const STANDBY_NODES = 8
 /** Added to the lease before another node takes over, for timers that fire late, in ms. */
 export const TAKEOVER_MARGIN_MS = 200
 /**
@@ -59,30 +59,30 @@
  * Time for which an epoch row that cannot be read is left alone, in ms: then the lease and the
  * grace of whoever wrote the last one are over, if it was not mended by hand before.
  */
-export const EPOCH_MEND_MS = LATE_LEASE_MAX_MS + GRACE_MS + TAKEOVER_MARGIN_MS
+export const UNREADABLE_EPOCH_WAIT_MS = LATE_LEASE_MAX_MS + GRACE_MS + TAKEOVER_MARGIN_MS
 /** Time between two checks for services without an owner, in ms. */
-export const CLAIM_STEP_MS = 150
+export const CLAIM_CHECK_INTERVAL_MS = 150
 /** Each further candidate for a service waits so much longer, in ms: two claim steps. */
-export const CANDIDATE_STEP_MS = 300
+export const CANDIDATE_DELAY_MS = 300
 /**
  * Rows of nodes whose lease has been over for so long are removed, in ms. A node that starts
  * takes a row for alive until its lease is over, so a dead one must not stay for long.
  */
-export const FORGET_NODE_MS = 6000
+export const DEAD_NODE_RETENTION_MS = 6000
 /**
  * After a gap in our own readings, a row must stand still for so long more before its
  * node counts as dead, in ms: nodes that lived through an outage renew within a few tries.
  */
-export const RETURN_MS = 800
+export const READ_GAP_GRACE_MS = 800
 /** Without a reading of the others' rows for so many times its pause there was a gap. */
-export const READ_GAP_PAUSES = 3
+export const READ_GAP_INTERVALS = 3
 /** Shortest time between two readings that were asked for out of turn, in ms. */
-export const REFRESH_MS = 200
+export const MIN_REFRESH_INTERVAL_MS = 200
 /**
  * Longest time for which a planned stop tries to give a service up, in ms: the platform
  * kills a process 6 s after it asked it to stop.
  */
-export const RELEASE_PATIENCE_MS = 4500
+export const RELEASE_TIMEOUT_MS = 4500
 /** Time between two tries after the store refused, in ms; jittered. */
 export const STORE_RETRY_MS = 150
 /**
@@ -92,4 +92,4 @@
  */
 export const SETTLE_MS = 350
 /** Time between the first looks at the others' rows, in ms; several fit in the time above. */
-export const FIRST_POLL_MS = 100
+export const STARTUP_POLL_MS = 100
--- a/src/ownership/leaseLength.ts
+++ b/src/ownership/leaseLength.ts
@@ -4,9 +4,9 @@
  */
 import type { Logger } from '../shared/index.js'
 import {
-  LATE_LEASE_GAPS,
+  LATE_LEASE_INTERVALS,
   LATE_LEASE_MAX_MS,
-  LATE_LEASE_RENEWALS,
+  LATE_LEASE_SAMPLES,
   NODE_LEASE_MS,
 } from './constants.js'
 
@@ -16,34 +16,34 @@
    * Notes a renewal that was done.
    * @param gapMs time from the sending of the one before to the answer of this one
    */
-  renewed(gapMs: number): void
+  recordRenewal(gapMs: number): void
   /** Lease for the next row, in ms. */
   ms(): number
 }
 
 /** Change of the lease that is told, as a share of the one told last. */
-const TELL_CHANGE = 0.25
+const MIN_LOGGED_CHANGE = 0.25
 
 /** Starts with the usual lease. */
 export function createLeaseLength(log: Logger): LeaseLength {
-  let gaps: number[] = []
+  let intervalsMs: number[] = []
   let ms = NODE_LEASE_MS
-  let toldMs = ms
+  let loggedMs = ms
 
   /** Told when it has changed by so much, so that a node which is missed late is explained. */
-  function tell(): void {
-    if (Math.abs(ms - toldMs) < toldMs * TELL_CHANGE) return
-    log.event('ownerLease', { leaseMs: Math.round(ms), previousMs: Math.round(toldMs) })
-    toldMs = ms
+  function logChange(): void {
+    if (Math.abs(ms - loggedMs) < loggedMs * MIN_LOGGED_CHANGE) return
+    log.event('ownerLease', { leaseMs: Math.round(ms), previousMs: Math.round(loggedMs) })
+    loggedMs = ms
   }
 
   return {
-    renewed(gapMs) {
-      gaps = [...gaps, gapMs].slice(-LATE_LEASE_RENEWALS)
-      const [, second = 0] = [...gaps].sort((a, b) => b - a)
-      const fitting = second * LATE_LEASE_GAPS
-      ms = Math.min(LATE_LEASE_MAX_MS, Math.max(NODE_LEASE_MS, fitting))
-      tell()
+    recordRenewal(gapMs) {
+      intervalsMs = [...intervalsMs, gapMs].slice(-LATE_LEASE_SAMPLES)
+      const [, secondLongestMs = 0] = [...intervalsMs].sort((a, b) => b - a)
+      const requiredMs = secondLongestMs * LATE_LEASE_INTERVALS
+      ms = Math.min(LATE_LEASE_MAX_MS, Math.max(NODE_LEASE_MS, requiredMs))
+      logChange()
     },
     ms: () => ms,
   }
--- a/src/ownership/memberBook.ts
+++ b/src/ownership/membership.ts
@@ -5,10 +5,10 @@
 import type { RowChange } from '../ports/index.js'
 import { createUnreadRows } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { RETURN_MS, TAKEOVER_MARGIN_MS } from './constants.js'
+import { READ_GAP_GRACE_MS, TAKEOVER_MARGIN_MS } from './constants.js'
 import { NODES_TABLE, decodeNode } from './nodeRow.js'
 import type { NodeRow } from './nodeRow.js'
-import type { NodeRowReading } from './nodeRowFollower.js'
+import type { NodeRowUpdate } from './nodeRowReader.js'
 
 /** A node as last seen. */
 export interface Member extends NodeRow {
@@ -21,7 +21,7 @@
 }
 
 /** The nodes, for those who ask. */
-export interface Members {
+export interface Membership {
   readonly self: { id: string; life: string }
   members(): Member[]
   /** Whether a node's row has stood still for longer than its lease. */
@@ -33,50 +33,50 @@
 }
 
 /** The nodes, for the one who reads their rows. */
-export interface MemberBook extends Members {
+export interface MembershipTracker extends Membership {
   /** Takes a row of any node. Readings overtake each other: one that is not newer is none. */
-  note(row: RowChange): void
+  applyRow(row: RowChange): void
   /**
    * Takes what a reading has brought.
    * @param sentAt steady time at which it began, in ms
    * @param gapMs time without a reading after which rows that stand still say nothing yet
    */
-  noteReading(reading: NodeRowReading, sentAt: number, gapMs: number): void
+  applyUpdate(reading: NodeRowUpdate, sentAt: number, gapMs: number): void
   /** Another node whose lease has been over for so long. */
-  longDead(ms: number): Member | undefined
+  findDead(ms: number): Member | undefined
 }
 
 /** Creates a book without nodes. */
-export function createMemberBook(opts: {
-  self: Members['self']
+export function createMembershipTracker(opts: {
+  self: Membership['self']
   log: Logger
   now(): number
-}): MemberBook {
+}): MembershipTracker {
   const { self, log, now } = opts
   const members = new Map<string, Member>()
-  const unread = createUnreadRows(log, NODES_TABLE)
+  const unreadableRows = createUnreadRows(log, NODES_TABLE)
   /** Start of the last reading, and of the first one since the last gap. */
-  let readAt = -Infinity
-  let steadySince = -Infinity
+  let lastReadAt = -Infinity
+  let firstReadAfterGapAt = -Infinity
 
   /** A row that was seen to stand still counts, not one that we could not read. */
   const isLapsed = (member: Member): boolean =>
-    readAt - member.seenAt > member.leaseMs + TAKEOVER_MARGIN_MS &&
-    readAt - steadySince > RETURN_MS
+    lastReadAt - member.seenAt > member.leaseMs + TAKEOVER_MARGIN_MS &&
+    lastReadAt - firstReadAfterGapAt > READ_GAP_GRACE_MS
 
-  function note(row: RowChange): void {
+  function applyRow(row: RowChange): void {
     const known = members.get(row.key)
     if (known && known.version >= row.version) return
     if (row.value === undefined) {
-      unread.clear(row.key)
+      unreadableRows.clear(row.key)
       if (known?.part === row.part) members.delete(row.key)
       return
     }
     const node = decodeNode(row.value)
     // A node that lives writes its row anew within its lease.
-    if (!node) return unread.note(row.key, 'counts as not renewed')
-    unread.clear(row.key)
-    if (!known && readAt > -Infinity)
+    if (!node) return unreadableRows.note(row.key, 'counts as not renewed')
+    unreadableRows.clear(row.key)
+    if (!known && lastReadAt > -Infinity)
       log.event('nodeSeen', { seen: row.key, life: node.life })
     const { part, version } = row
     members.set(row.key, { ...node, id: row.key, part, version, seenAt: now() })
@@ -94,21 +94,21 @@
       [...members.values()].find(
         (each) => each.owns.includes(service) && !isLapsed(each),
       ),
-    note,
-    noteReading({ complete, rows }, sentAt, gapMs) {
+    applyRow,
+    applyUpdate({ complete, rows }, sentAt, gapMs) {
       const keys = new Set(rows.map(({ key }) => key))
       if (complete) {
         for (const key of members.keys()) if (!keys.has(key)) members.delete(key)
       }
-      for (const row of rows) note(row)
+      for (const row of rows) applyRow(row)
       // 97 nodes that started together wrote 8,730 lines of one node each.
-      if (readAt === -Infinity) log.event('nodesSeen', { count: members.size })
-      else if (sentAt - readAt > gapMs) steadySince = sentAt
-      readAt = Math.max(readAt, sentAt)
+      if (lastReadAt === -Infinity) log.event('nodesSeen', { count: members.size })
+      else if (sentAt - lastReadAt > gapMs) firstReadAfterGapAt = sentAt
+      lastReadAt = Math.max(lastReadAt, sentAt)
     },
-    longDead: (ms) =>
+    findDead: (ms) =>
       [...members.values()].find(
-        (each) => each.id !== self.id && readAt - each.seenAt > each.leaseMs + ms,
+        (each) => each.id !== self.id && lastReadAt - each.seenAt > each.leaseMs + ms,
       ),
   }
 }
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -3,17 +3,17 @@
 import { createStopController, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import {
-  FORGET_NODE_MS,
-  FIRST_POLL_MS,
+  DEAD_NODE_RETENTION_MS,
+  STARTUP_POLL_MS,
   IDLE_LEASE_PACES,
   IDLE_PACE_MS,
   IDLE_POLL_MAX_MS,
   IDLE_RENEWALS_PER_S,
   IDLE_RETRY_MS,
-  NEXT_OWNERS,
+  STANDBY_NODES,
   NODE_LEASE_MS,
-  READ_GAP_PAUSES,
-  REFRESH_MS,
+  READ_GAP_INTERVALS,
+  MIN_REFRESH_INTERVAL_MS,
   RENEW_MS,
   SETTLE_MS,
   STORE_RETRY_MS,
@@ -21,20 +21,20 @@
 import { rankAmongCandidates } from './claimRules.js'
 import { leaseNowMs } from './leaseClock.js'
 import { createLeaseLength } from './leaseLength.js'
-import { createMemberBook } from './memberBook.js'
-import type { Members } from './memberBook.js'
+import { createMembershipTracker } from './membership.js'
+import type { Membership } from './membership.js'
 import { NODES_TABLE } from './nodeRow.js'
 import type { NodeRow } from './nodeRow.js'
-import { createNodeRowFollower } from './nodeRowFollower.js'
+import { createNodeRowReader } from './nodeRowReader.js'
 import { createNodeRowWriter } from './nodeRowWriter.js'
 
 /** Told of each renewal. */
 type RenewalListener = (sentAt: number, lapsed: boolean) => void
 
 /** This node's row, kept fresh, and the rows of the others. */
-export interface NodeRegistry extends Members {
+export interface NodeRegistry extends Membership {
   /** Writes our row now, because what it says has changed. */
-  announce(): Promise<void>
+  renewNow(): Promise<void>
   /** Whether the store answered lately. */
   isConnected(): boolean
   /** Whether our row was renewed within the lease of an owner, so that we may become one. */
@@ -49,7 +49,7 @@
    * lease of our row, so that it is over with that: counted from the claim it overlapped with
    * the next owner's for up to a lease, and a job that came meanwhile was run by both.
    */
-  rightUntil(service: string, sentAt: number): number
+  ownershipValidUntil(service: string, sentAt: number): number
   /** Reads the rows of the other nodes now; false when the store did not answer. */
   refresh(): Promise<boolean>
   /**
@@ -58,9 +58,9 @@
    */
   refreshSoon(): Promise<void>
   /** Reads the row of one node now; false when the store did not answer. */
-  reread(id: string): Promise<boolean>
+  refreshNode(id: string): Promise<boolean>
   /** Time since the rows of the others were first read, in ms. */
-  knownForMs(): number
+  msSinceFirstRead(): number
   stop(): Promise<void>
 }
 
@@ -85,30 +85,30 @@
   const { store, id, life, log } = opts
   const now = opts.now ?? leaseNowMs
   const stopping = createStopController()
-  const book = createMemberBook({ self: { id, life }, log, now })
+  const membership = createMembershipTracker({ self: { id, life }, log, now })
   const listeners: RenewalListener[] = []
   const ownLease = createLeaseLength(log)
-  const follower = createNodeRowFollower(store)
+  const reader = createNodeRowReader(store)
   const writer = createNodeRowWriter(store, id)
   let renewedAt = -Infinity
   /** Whether a try has failed since then: the store was late, and not this node. */
-  let failedSince = true
+  let hasFailedSinceRenewal = true
   /** Services that our row lists. */
-  let listed: string[] = []
+  let writtenOwns: string[] = []
   /** Lease that our row says. */
   let leaseMs = NODE_LEASE_MS
-  let pollPauseMs = RENEW_MS
+  let pollIntervalMs = RENEW_MS
   let pollSentAt = -Infinity
-  let firstPolledAt: number | undefined
-  let connected = true
-  let writing: Promise<boolean> | undefined
+  let firstReadAt: number | undefined
+  let isStoreReachable = true
+  let currentWrite: Promise<boolean> | undefined
   /** The write after it, shared by all who ask during it. */
-  let following: Promise<boolean> | undefined
+  let nextWrite: Promise<boolean> | undefined
   let refreshing: Promise<boolean> | undefined
 
   const noteConnection = (up: boolean, reason: string): void => {
-    if (up === connected) return
-    connected = up
+    if (up === isStoreReachable) return
+    isStoreReachable = up
     log.event(up ? 'platformBack' : 'platformDown', { reason })
   }
 
@@ -116,7 +116,8 @@
   async function write(): Promise<boolean> {
     const sentAt = now()
     const owns = opts.owns()
-    const nextLeaseMs = owns.length > 0 ? ownLease.ms() : idlePaceMs() * IDLE_LEASE_PACES
+    const nextLeaseMs =
+      owns.length > 0 ? ownLease.ms() : idleRenewIntervalMs() * IDLE_LEASE_PACES
     const row: NodeRow = {
       life,
       address: opts.address,
@@ -128,60 +129,61 @@
     }
     const res = await writer.write(JSON.stringify(row))
     if (res.isErr()) {
-      failedSince = true
+      hasFailedSinceRenewal = true
       noteConnection(false, describeError(res.error))
       return false
     }
     if (!res.value) return false
     noteConnection(true, 'row renewed')
     const lapsed = sentAt - renewedAt > leaseMs
-    if (owns.length > 0 && !failedSince) ownLease.renewed(now() - renewedAt)
-    failedSince = owns.length === 0
+    if (owns.length > 0 && !hasFailedSinceRenewal)
+      ownLease.recordRenewal(now() - renewedAt)
+    hasFailedSinceRenewal = owns.length === 0
     renewedAt = sentAt
     leaseMs = nextLeaseMs
-    listed = owns
+    writtenOwns = owns
     for (const listener of listeners) listener(sentAt, lapsed)
     return true
   }
 
   /** One write at a time; callers during a write share the one after it. */
   function renew(): Promise<boolean> {
-    if (!writing) {
-      writing = write().finally(() => (writing = undefined))
-      return writing
+    if (!currentWrite) {
+      currentWrite = write().finally(() => (currentWrite = undefined))
+      return currentWrite
     }
-    following ??= writing.then(() => {
-      following = undefined
+    nextWrite ??= currentWrite.then(() => {
+      nextWrite = undefined
       return renew()
     })
-    return following
+    return nextWrite
   }
 
   /** Reads the rows of all nodes. */
   async function poll(): Promise<boolean> {
     const sentAt = now()
     pollSentAt = sentAt
-    const res = await follower.read()
+    const res = await reader.read()
     if (res.isErr()) {
       noteConnection(false, describeError(res.error))
       return false
     }
     noteConnection(true, 'nodes read')
-    book.noteReading(res.value, sentAt, READ_GAP_PAUSES * pollPauseMs)
-    firstPolledAt ??= now()
-    await forgetDead()
+    membership.applyUpdate(res.value, sentAt, READ_GAP_INTERVALS * pollIntervalMs)
+    firstReadAt ??= now()
+    await removeDeadNode()
     return true
   }
 
   async function refreshSoon(): Promise<void> {
-    if (!refreshing && now() - pollSentAt <= REFRESH_MS) return
+    if (!refreshing && now() - pollSentAt <= MIN_REFRESH_INTERVAL_MS) return
     refreshing ??= poll().finally(() => (refreshing = undefined))
     await refreshing
   }
 
   /** Removes the row of one node that has long been silent. */
-  async function forgetDead(): Promise<void> {
-    const dead = book.longDead(FORGET_NODE_MS)
+  async function removeDeadNode(): Promise<void> {
+    const dead = membership.findDead(DEAD_NODE_RETENTION_MS)
     if (!dead) return
     const key = { table: NODES_TABLE, part: dead.part, key: dead.id }
     const conditions = [{ ...key, version: dead.version }]
@@ -192,18 +194,21 @@
   const isOwner = (): boolean => opts.owns().length > 0
 
   /** Whether this node owns something, or is among the next to do so. */
-  function isNextOwner(): boolean {
-    const rank = rankAmongCandidates(book, 0, opts.owns().length)
-    return isOwner() || (rank !== undefined && rank < NEXT_OWNERS)
+  function isOwnerOrStandby(): boolean {
+    const rank = rankAmongCandidates(membership, 0, opts.owns().length)
+    return isOwner() || (rank !== undefined && rank < STANDBY_NODES)
   }
 
   /** Time between two renewals while nothing is owned; the more nodes, the longer. */
-  function idlePaceMs(): number {
-    if (isNextOwner()) return IDLE_PACE_MS
-    return Math.max(IDLE_PACE_MS, (book.members().length / IDLE_RENEWALS_PER_S) * 1000)
+  function idleRenewIntervalMs(): number {
+    if (isOwnerOrStandby()) return IDLE_PACE_MS
+    return Math.max(
+      IDLE_PACE_MS,
+      (membership.members().length / IDLE_RENEWALS_PER_S) * 1000,
+    )
   }
 
-  function renewalPauseMs(done: boolean): number {
+  function renewalDelayMs(done: boolean): number {
     if (isOwner()) return done ? RENEW_MS : STORE_RETRY_MS
     // By what our row says: the others miss us after the lease that they have read.
     return done ? leaseMs / IDLE_LEASE_PACES : IDLE_RETRY_MS
@@ -212,7 +217,7 @@
   async function runRenewals(): Promise<void> {
     while (!stopping.signal.aborted) {
       const done = await renew()
-      await sleep(jittered(renewalPauseMs(done)), stopping.signal)
+      await sleep(jittered(renewalDelayMs(done)), stopping.signal)
     }
   }
 
@@ -220,40 +225,45 @@
     while (!stopping.signal.aborted) {
       const done = await poll()
       // Nodes start together: a few quick looks find those that are a moment behind.
-      const young = registry.knownForMs() < SETTLE_MS
-      const next = young || isNextOwner()
+      const isDiscovering = registry.msSinceFirstRead() < SETTLE_MS
+      const pollsOften = isDiscovering || isOwnerOrStandby()
       // It may have become one of the next: only a fresh row lets it claim anything.
-      if (done && next && now() - renewedAt > NODE_LEASE_MS) void renew()
-      pollPauseMs = next ? RENEW_MS : Math.min(idlePaceMs(), IDLE_POLL_MAX_MS)
-      const retryMs = next ? FIRST_POLL_MS : IDLE_RETRY_MS
-      await sleep(jittered(young || !done ? retryMs : pollPauseMs), stopping.signal)
+      if (done && pollsOften && now() - renewedAt > NODE_LEASE_MS) void renew()
+      pollIntervalMs = pollsOften
+        ? RENEW_MS
+        : Math.min(idleRenewIntervalMs(), IDLE_POLL_MAX_MS)
+      const retryMs = pollsOften ? STARTUP_POLL_MS : IDLE_RETRY_MS
+      await sleep(
+        jittered(isDiscovering || !done ? retryMs : pollIntervalMs),
+        stopping.signal,
+      )
     }
   }
 
   const registry: NodeRegistry = {
-    self: book.self,
-    members: book.members,
-    isLapsed: book.isLapsed,
-    candidates: book.candidates,
-    ownerOf: book.ownerOf,
-    announce: async () => void (await renew()),
-    isConnected: () => connected && now() - renewedAt < leaseMs,
-    mayClaim: () => connected && now() - renewedAt < NODE_LEASE_MS,
+    self: membership.self,
+    members: membership.members,
+    isLapsed: membership.isLapsed,
+    candidates: membership.candidates,
+    ownerOf: membership.ownerOf,
+    renewNow: async () => void (await renew()),
+    isConnected: () => isStoreReachable && now() - renewedAt < leaseMs,
+    mayClaim: () => isStoreReachable && now() - renewedAt < NODE_LEASE_MS,
     onRenewed: (listener) => void listeners.push(listener),
-    rightUntil(service, sentAt) {
+    ownershipValidUntil(service, sentAt) {
       // For a row that does not list the service the others wait by a fixed time.
-      const lastsMs = listed.includes(service) ? leaseMs : NODE_LEASE_MS
+      const lastsMs = writtenOwns.includes(service) ? leaseMs : NODE_LEASE_MS
       return Math.min(sentAt, renewedAt) + lastsMs
     },
     refresh: poll,
-    async reread(other) {
-      const row = await follower.readOne(other)
+    async refreshNode(other) {
+      const row = await reader.readOne(other)
       if (row.isErr()) return false
-      if (row.value) book.note(row.value)
+      if (row.value) membership.applyRow(row.value)
       return true
     },
     refreshSoon,
-    knownForMs: () => (firstPolledAt === undefined ? 0 : now() - firstPolledAt),
+    msSinceFirstRead: () => (firstReadAt === undefined ? 0 : now() - firstReadAt),
     async stop() {
       stopping.abort()
       await tasks
--- a/src/ownership/nodeRowFollower.ts
+++ b/src/ownership/nodeRowReader.ts
@@ -13,16 +13,16 @@
 import { NODES_TABLE } from './nodeRow.js'
 
 /** What a reading brought. */
-export interface NodeRowReading {
+export interface NodeRowUpdate {
   /** Whether `rows` are all there are; otherwise they are what has changed. */
   complete: boolean
   rows: RowChange[]
 }
 
 /** Reads the rows of nodes. */
-export interface NodeRowFollower {
+export interface NodeRowReader {
   /** All rows at first and after a gap in the history, then the changes. */
-  read(): Promise<Result<NodeRowReading, PlatformError>>
+  read(): Promise<Result<NodeRowUpdate, PlatformError>>
   /**
    * The newest row of one node as it is now, in the parts that can be read; undefined when
    * there is none. An error when no part can be read, or the answer of one was lost.
@@ -42,11 +42,11 @@
   }))
 
 /** Creates a follower that has read nothing yet. */
-export function createNodeRowFollower(store: RowStore): NodeRowFollower {
+export function createNodeRowReader(store: RowStore): NodeRowReader {
   /** Version to continue from; undefined asks for a full reading. */
   let version: number | undefined
 
-  async function readAll(): Promise<Result<NodeRowReading, PlatformError>> {
+  async function readAll(): Promise<Result<NodeRowUpdate, PlatformError>> {
     // From before the parts are listed, so that a part that comes meanwhile is a change.
     const before = await store.read(NODES_TABLE, '')
     if (before.isErr()) return err(before.error)
@@ -66,7 +66,7 @@
 
   async function readChanges(
     after: number,
-  ): Promise<Result<NodeRowReading, PlatformError>> {
+  ): Promise<Result<NodeRowUpdate, PlatformError>> {
     const res = await store.changes(NODES_TABLE, after, 0)
     if (res.isOk()) {
       version = Math.max(version ?? 0, res.value.version)
@@ -80,7 +80,7 @@
    * The history from its beginning, in one call, where the store still has it: when all
    * nodes start for the first time, each would read the part of each.
    */
-  async function readFirst(): Promise<Result<NodeRowReading, PlatformError>> {
+  async function readFirst(): Promise<Result<NodeRowUpdate, PlatformError>> {
     const first = await readChanges(0)
     return first.map(({ rows }) => ({ complete: true, rows }))
   }
--- a/src/ownership/ownership.ts
+++ b/src/ownership/ownership.ts
@@ -13,21 +13,21 @@
   sleep,
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { authorityOf } from './authority.js'
-import type { Authority, Held, Owner } from './authority.js'
+import { createAuthority } from './authority.js'
+import type { Authority, OwnedService, Owner } from './authority.js'
 import {
   isHolderGone,
   isOwnedElsewhere,
-  leaseOverAt,
-  mayPredecessorLive,
+  predecessorLeaseEndsAt,
+  mayPredecessorBeActive,
   rankAmongCandidates,
 } from './claimRules.js'
 import {
-  CANDIDATE_STEP_MS,
-  CLAIM_STEP_MS,
-  EPOCH_MEND_MS,
+  CANDIDATE_DELAY_MS,
+  CLAIM_CHECK_INTERVAL_MS,
+  UNREADABLE_EPOCH_WAIT_MS,
   NODE_LEASE_MS,
-  RELEASE_PATIENCE_MS,
+  RELEASE_TIMEOUT_MS,
   SETTLE_MS,
   STORE_RETRY_MS,
 } from './constants.js'
@@ -69,24 +69,24 @@
   const { store, registry, log } = opts
   const now = opts.now ?? leaseNowMs
   const stopping = createStopController()
-  const held = new Map<string, Held>()
+  const ownedServices = new Map<string, OwnedService>()
   const unownedSince = new Map<string, number>()
   const claiming = new Set<string>()
   /** Versions of the epoch rows of others, with the steady times at which they were first read. */
   const epochsSeen = new Map<string, { version: number; at: number }>()
-  const unread = createUnreadRows(log, EPOCH_TABLE)
+  const unreadableRows = createUnreadRows(log, EPOCH_TABLE)
   const { id, life } = registry.self
   let releasing = false
 
   /** Ends what runs for a service that another node owns now. */
-  async function drop(service: string, reason: string): Promise<void> {
-    const each = held.get(service)
-    if (!each) return
-    each.lost = true
-    held.delete(service)
-    log.event('ownershipLost', { service, term: each.row.term, reason })
-    await each.owner?.stop(false)
-    void registry.announce()
+  async function stopLost(service: string, reason: string): Promise<void> {
+    const owned = ownedServices.get(service)
+    if (!owned) return
+    owned.lost = true
+    ownedServices.delete(service)
+    log.event('ownershipLost', { service, term: owned.row.term, reason })
+    await owned.owner?.stop(false)
+    void registry.renewNow()
   }
 
   /** Steady time since which the epoch row has had the version, as far as we have seen. */
@@ -103,9 +103,12 @@
    * before may replace it. With a lower one every target would fence us; left alone for ever
    * it would keep the service from having an owner.
    */
-  function isLeftAloneLong(service: string, version: number): boolean {
-    unread.note(service, `nobody may own the service for ${EPOCH_MEND_MS} ms`)
-    return now() - epochSince(service, version) >= EPOCH_MEND_MS
+  function mayReplaceUnreadable(service: string, version: number): boolean {
+    unreadableRows.note(
+      service,
+      `nobody may own the service for ${UNREADABLE_EPOCH_WAIT_MS} ms`,
+    )
+    return now() - epochSince(service, version) >= UNREADABLE_EPOCH_WAIT_MS
   }
 
   /** Takes a service, unless its holder may still have a right to it. */
@@ -118,10 +121,10 @@
     const stored = found.value.rows[0]
     const before = stored && decodeEpoch(stored.value)
     const isUnread = stored !== undefined && before === undefined
-    if (isUnread && !isLeftAloneLong(service, stored.version)) return
-    if (!isUnread) unread.clear(service)
+    if (isUnread && !mayReplaceUnreadable(service, stored.version)) return
+    if (!isUnread) unreadableRows.clear(service)
     // Its row may have been renewed since the changes were read.
-    if (before && before.node !== '' && !(await registry.reread(before.node))) return
+    if (before && before.node !== '' && !(await registry.refreshNode(before.node))) return
     const unownedMs =
       now() -
       Math.max(
@@ -137,87 +140,94 @@
       return log.event('claimFailed', { service, reason: describeError(res.error) })
     if (!res.value.committed) return
     const { version } = res.value
-    const confirmedUntil = registry.rightUntil(service, sentAt)
+    const confirmedUntil = registry.ownershipValidUntil(service, sentAt)
     const confirmation = { confirmedUntil, confirming: false, lost: false }
-    const taken: Held = { owner: undefined, version, row, ...confirmation }
+    const taken: OwnedService = { owner: undefined, version, row, ...confirmation }
     if (isUnread) log.event('rowRestored', { table: EPOCH_TABLE, key: service })
-    await begin(service, taken, isUnread ? 'unknown' : before)
+    await startOwned(service, taken, isUnread ? 'unknown' : before)
   }
 
   /** Starts what runs for a service that this node has just taken. */
-  async function begin(
+  async function startOwned(
     service: string,
-    each: Held,
+    owned: OwnedService,
     former: EpochRow | undefined | 'unknown',
   ): Promise<void> {
-    held.set(service, each)
+    ownedServices.set(service, owned)
     unownedSince.delete(service)
     const isUnknown = former === 'unknown'
     const before = isUnknown ? undefined : former
-    const predecessorMayLive = isUnknown || mayPredecessorLive(registry, before)
+    const predecessorMayLive = isUnknown || mayPredecessorBeActive(registry, before)
     log.event('ownershipTaken', {
       service,
-      term: each.row.term,
+      term: owned.row.term,
       previous: before?.node ?? '',
       predecessorMayLive,
     })
-    void registry.announce()
-    const lost = (reason: string): void => void drop(service, reason)
+    void registry.renewNow()
+    const lost = (reason: string): void => void stopLost(service, reason)
     const predecessorLeaseLeftMs = isUnknown
       ? NODE_LEASE_MS
-      : leaseOverAt(registry, before, service, now()) - now()
+      : predecessorLeaseEndsAt(registry, before, service, now()) - now()
     const predecessorLeaseOverAt = monotonicMs() + predecessorLeaseLeftMs
     const predecessor = { predecessorMayLive, predecessorLeaseOverAt }
-    const authority = { service, held: each, ...predecessor, now, lost }
-    const owner = await opts.start(authorityOf(authority))
-    if (each.lost) await owner.stop(false)
-    else each.owner = owner
+    const authority = { service, owned, ...predecessor, now, lost }
+    const owner = await opts.start(createAuthority(authority))
+    if (owned.lost) await owner.stop(false)
+    else owned.owner = owner
   }
 
   /** After our lease had run out: makes sure that nobody took over, service by service. */
-  async function confirm(service: string, each: Held): Promise<void> {
-    if (each.confirming) return
-    each.confirming = true
-    while (!each.lost && !stopping.signal.aborted) {
+  async function confirm(service: string, owned: OwnedService): Promise<void> {
+    if (owned.confirming) return
+    owned.confirming = true
+    while (!owned.lost && !stopping.signal.aborted) {
       const sentAt = now()
-      const res = await writeEpoch(store, service, each.row, each.version)
+      const res = await writeEpoch(store, service, owned.row, owned.version)
       if (res.isOk() && res.value.committed) {
-        each.version = res.value.version
-        each.confirmedUntil = registry.rightUntil(service, sentAt)
-        each.confirming = false
-        log.event('ownershipConfirmed', { service, term: each.row.term })
+        owned.version = res.value.version
+        owned.confirmedUntil = registry.ownershipValidUntil(service, sentAt)
+        owned.confirming = false
+        log.event('ownershipConfirmed', { service, term: owned.row.term })
         return
       }
       if (res.isOk()) {
         const current = res.value.committed ? undefined : res.value.current[0]
-        if (current && isSameOwner(current.value, each.row))
-          each.version = current.version
-        else return drop(service, 'another node took over')
+        if (current && isSameOwner(current.value, owned.row))
+          owned.version = current.version
+        else return stopLost(service, 'another node took over')
       }
       await sleep(jittered(STORE_RETRY_MS), stopping.signal)
     }
   }
 
   registry.onRenewed((sentAt, lapsed) => {
-    for (const [service, each] of held) {
-      const stale = sentAt > each.confirmedUntil
-      if (lapsed || stale || each.confirming) void confirm(service, each)
-      else each.confirmedUntil = registry.rightUntil(service, sentAt)
+    for (const [service, owned] of ownedServices) {
+      const stale = sentAt > owned.confirmedUntil
+      if (lapsed || stale || owned.confirming) void confirm(service, owned)
+      else owned.confirmedUntil = registry.ownershipValidUntil(service, sentAt)
     }
   })
 
   /** Claims a service once it has been without an owner for as long as our rank asks. */
   function considerClaim(service: string): void {
     if (isOwnedElsewhere(registry, service)) return void unownedSince.delete(service)
-    if (registry.knownForMs() < SETTLE_MS) return
+    if (registry.msSinceFirstRead() < SETTLE_MS) return
     const since = unownedSince.get(service) ?? now()
     unownedSince.set(service, since)
     const unowned = opts
       .names()
-      .filter((name) => !registry.ownerOf(name) && !held.has(name) && !claiming.has(name))
-    const place = unowned.indexOf(service)
-    const rank = rankAmongCandidates(registry, place, held.size + claiming.size)
-    if (rank === undefined || now() - since < rank * CANDIDATE_STEP_MS) return
+      .filter(
+        (name) =>
+          !registry.ownerOf(name) && !ownedServices.has(name) && !claiming.has(name),
+      )
+    const position = unowned.indexOf(service)
+    const rank = rankAmongCandidates(
+      registry,
+      position,
+      ownedServices.size + claiming.size,
+    )
+    if (rank === undefined || now() - since < rank * CANDIDATE_DELAY_MS) return
     claiming.add(service)
     void claim(service).finally(() => claiming.delete(service))
   }
@@ -226,30 +236,30 @@
     while (!stopping.signal.aborted) {
       for (const service of opts.names()) {
         if (releasing || !registry.mayClaim()) break
-        if (!held.has(service) && !claiming.has(service)) considerClaim(service)
+        if (!ownedServices.has(service) && !claiming.has(service)) considerClaim(service)
       }
-      await sleep(CLAIM_STEP_MS, stopping.signal)
+      await sleep(CLAIM_CHECK_INTERVAL_MS, stopping.signal)
     }
   }
   const task = run()
 
   /** Stops what runs for a service, and lets others claim it at once. */
-  async function releaseOne(service: string): Promise<void> {
-    const each = held.get(service)
-    if (!each) return
-    await each.owner?.stop(true)
-    each.lost = true
-    held.delete(service)
-    const reason = await giveUp(service, each)
-    log.event('ownershipReleased', { service, term: each.row.term, reason })
+  async function releaseService(service: string): Promise<void> {
+    const owned = ownedServices.get(service)
+    if (!owned) return
+    await owned.owner?.stop(true)
+    owned.lost = true
+    ownedServices.delete(service)
+    const reason = await writeRelease(service, owned)
+    log.event('ownershipReleased', { service, term: owned.row.term, reason })
   }
 
   /** Writes that nobody owns the service; returns why that could not be done. */
-  async function giveUp(service: string, each: Held): Promise<string> {
-    const given: EpochRow = { ...each.row, node: '' }
-    const endsAt = now() + RELEASE_PATIENCE_MS
+  async function writeRelease(service: string, owned: OwnedService): Promise<string> {
+    const given: EpochRow = { ...owned.row, node: '' }
+    const endsAt = now() + RELEASE_TIMEOUT_MS
     for (;;) {
-      const res = await writeEpoch(store, service, given, each.version)
+      const res = await writeEpoch(store, service, given, owned.version)
       // A condition that does not hold: an earlier try was done, or somebody took over.
       if (res.isOk()) return ''
       if (now() >= endsAt) return describeError(res.error)
@@ -260,16 +270,16 @@
   return {
     async release() {
       releasing = true
-      await Promise.all([...held.keys()].map(releaseOne))
-      await registry.announce()
+      await Promise.all([...ownedServices.keys()].map(releaseService))
+      await registry.renewNow()
     },
     async stop() {
       stopping.abort()
       await task
-      for (const [service, each] of held) {
-        each.lost = true
-        held.delete(service)
-        await each.owner?.stop(false)
+      for (const [service, owned] of ownedServices) {
+        owned.lost = true
+        ownedServices.delete(service)
+        await owned.owner?.stop(false)
       }
     },
   }
--- a/src/vms/__tests__/poolPlanner.spec.ts
+++ b/src/vms/__tests__/poolPlanner.spec.ts
@@ -33,7 +33,7 @@
   emptying: new Set(),
   ordered: new Set(),
   fitsPool: () => true,
-  keptBy: (_service, needed) => needed,
+  vmsToKeep: (_service, needed) => needed,
 })
 
 const movesOf = (input: PoolInput): string[] =>
@@ -73,8 +73,8 @@
       t.deepEqual(movesOf(inputOf(vms, reports)), [])
       const passing = [2, 3, 4].map((number) => loadOf(number, { runs: 1 }))
       const much = { cpu: 9 * VM_CPU, timelyCpu: 9 * VM_CPU }
-      const hungry = [reportOf('a', much, [loadOf(1)]), reportOf('b', LATE, passing)]
-      t.is(movesOf(inputOf(vms, hungry)).length, 2)
+      const bothInNeed = [reportOf('a', much, [loadOf(1)]), reportOf('b', LATE, passing)]
+      t.is(movesOf(inputOf(vms, bothInNeed)).length, 2)
     })
   })
 
@@ -144,7 +144,7 @@
 
   describe('where every service has more late work than its VMs can do', () => {
     /** Pools of so many busy VMs whose services need so many. */
-    function startShares(pools: [name: string, has: number, needs: number][]) {
+    function inputWithPools(pools: [name: string, has: number, needs: number][]) {
       let number = 0
       const all: Vm[] = []
       const reports = pools.map(([name, has, needs]) => {
@@ -167,7 +167,7 @@
     // Accepted jobs of the small pool waited for 28 s, with no reason but where the VMs were.
     it('gives more VMs to the one whose work waits far longer', (t) => {
       const counts = countsTo(
-        startShares([
+        inputWithPools([
           ['a', 2, 166],
           ['b', 52, 196],
         ]),
@@ -180,7 +180,7 @@
     it('moves none where the work waits about as long', (t) => {
       t.is(
         countsTo(
-          startShares([
+          inputWithPools([
             ['a', 20, 166],
             ['b', 34, 196],
           ]),
@@ -190,7 +190,7 @@
     })
 
     it('takes none that timely work needs', (t) => {
-      const input = startShares([
+      const input = inputWithPools([
         ['a', 2, 166],
         ['b', 4, 20],
       ])
@@ -200,12 +200,12 @@
     })
 
     it('comes to rest', (t) => {
-      const input = startShares([
+      const input = inputWithPools([
         ['a', 12, 166],
         ['b', 42, 196],
       ])
       const moved = countsTo(input).get('a') ?? 0
-      const after = startShares([
+      const after = inputWithPools([
         ['a', 12 + moved, 166],
         ['b', 42 - moved, 196],
       ])
--- a/src/vms/fleetOwner.ts
+++ b/src/vms/fleetOwner.ts
@@ -14,25 +14,25 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import {
-  BUSY_PAUSE_MS,
-  EMPTY_REPORT_MS,
-  LIST_BUSY_MS,
-  LIST_MS,
-  MIN_ROUND_MS,
+  BUSY_BACKOFF_MS,
+  EMPTY_REPORT_MAX_AGE_MS,
+  LIST_BUSY_INTERVAL_MS,
+  LIST_INTERVAL_MS,
+  MIN_ROUND_INTERVAL_MS,
   MOVES_SHARE,
   PEAK_HOLD_MS,
-  ROUND_MS,
+  ROUND_INTERVAL_MS,
 } from './constants.js'
-import { createOrderBudget } from './orderBudget.js'
+import { createOrderRateLimiter } from './orderRateLimiter.js'
 import { createPeakHold } from './peakHold.js'
 import { cpuPerVmOf, neededVms, planPools } from './poolPlanner.js'
 import type { PlannedMove } from './poolPlanner.js'
-import { createReportBook } from './reportBook.js'
+import { createLatestReports } from './latestReports.js'
 import type { FleetAnswer, ServiceReport } from './types.js'
 import { createVmOrders } from './vmOrders.js'
-import { createWaveBook } from './waves.js'
+import { createWaveTracker } from './waves.js'
 import { advanceWaves } from './waveSteps.js'
-import type { FleetView, Supply } from './waveSteps.js'
+import type { FleetView, VmSupply } from './waveSteps.js'
 
 /** The owner of the fleet, while it runs. */
 export interface FleetOwner extends Owner {
@@ -61,13 +61,15 @@
 export function createFleetOwner(opts: FleetOwnerOptions): FleetOwner {
   const { cloud, authority, configuration, log } = opts
   const stopping = createStopController()
-  const reports = createReportBook()
+  const reports = createLatestReports()
   const orders = createVmOrders(opts)
-  const waves = createWaveBook({ ...opts, status: opts.documents.waveStatus })
+  const waves = createWaveTracker({ ...opts, status: opts.documents.waveStatus })
   const peaks = createPeakHold(PEAK_HOLD_MS)
-  const budget = createOrderBudget(Math.floor(opts.ordersPerSecond * MOVES_SHARE))
+  const rateLimiter = createOrderRateLimiter(
+    Math.floor(opts.ordersPerSecond * MOVES_SHARE),
+  )
   /** VM and pool that the cloud has refused to bring together. */
-  const misfits = new Set<string>()
+  const incompatible = new Set<string>()
   /** VMs that the cloud called busy, with the steady time up to which they are left. */
   const busyUntil = new Map<string, number>()
   /** VMs being emptied for a wave. */
@@ -79,17 +81,17 @@
   let vms = new Map<string, Vm>()
   let listedAt = -Infinity
   /** Steady time of the first decision, in ms. */
-  let decidesSince = Infinity
+  let firstDecisionAt = Infinity
   /** Whether a report has come since the last round. */
-  let reported = false
-  let endWait = (): void => undefined
+  let hasNewReport = false
+  let cancelWait = (): void => undefined
 
   const sparePool = (): string | undefined => {
     const services = configuration.current()?.services.values() ?? []
     return [...services].find(({ spare }) => spare)?.name
   }
 
-  function supplyOf({ pool }: Vm): Supply | undefined {
+  function supplyOf({ pool }: Vm): VmSupply | undefined {
     const report = reports.fresh().get(pool)
     if (!report) return undefined
     const all = [...vms.values()]
@@ -105,9 +107,9 @@
   }
 
   /** The VMs, with the loads that the services have reported. */
-  const look = (): FleetView => {
+  const getView = (): FleetView => {
     const loads = reports.loads()
-    const recent = reports.loads(EMPTY_REPORT_MS)
+    const recent = reports.loads(EMPTY_REPORT_MAX_AGE_MS)
     return {
       vms,
       runsOn: (vm) => loads.get(vm.targetId)?.runs ?? 0,
@@ -122,21 +124,22 @@
 
   async function readList(): Promise<void> {
     const away = [...vms.values()].some(({ state }) => state !== 'up')
-    const every = away || orders.pending.size > 0 ? LIST_BUSY_MS : LIST_MS
-    if (monotonicMs() - listedAt < every) return
+    const intervalMs =
+      away || orders.pending.size > 0 ? LIST_BUSY_INTERVAL_MS : LIST_INTERVAL_MS
+    if (monotonicMs() - listedAt < intervalMs) return
     const sentAt = monotonicMs()
     const res = await cloud.list()
     if (res.isErr()) return log.event('vmsNotRead', { reason: describeError(res.error) })
     listedAt = sentAt
     vms = new Map(res.value.map((vm) => [vm.name, vm]))
-    orders.settle(vms, sentAt)
+    orders.applyList(vms, sentAt)
   }
 
   async function moveOne({ vm, pool }: PlannedMove): Promise<void> {
     const answer = await orders.move(vm, pool)
-    if (answer === 'unknownVm') misfits.add(`${vm.name} ${pool}`)
+    if (answer === 'unknownVm') incompatible.add(`${vm.name} ${pool}`)
     // Asked again in each round, one such VM used up 45 orders in 2 s.
-    if (answer === 'busy') busyUntil.set(vm.name, monotonicMs() + BUSY_PAUSE_MS)
+    if (answer === 'busy') busyUntil.set(vm.name, monotonicMs() + BUSY_BACKOFF_MS)
   }
 
   function busyVms(): string[] {
@@ -147,10 +150,10 @@
   }
 
   /** VMs that a service keeps: those of its last peak, and all until peaks can be known. */
-  function keptBy(service: string, needed: number): number {
+  function vmsToKeep(service: string, needed: number): number {
     const peak = peaks.note(service, needed, monotonicMs())
     // A new owner that parked at once had nine VMs away for 3 s that the next queue needed.
-    return monotonicMs() - decidesSince < PEAK_HOLD_MS ? Infinity : peak
+    return monotonicMs() - firstDecisionAt < PEAK_HOLD_MS ? Infinity : peak
   }
 
   async function balancePools(): Promise<void> {
@@ -161,40 +164,40 @@
       movingTo: orders.movingTo(),
       emptying,
       ordered: new Set([...orders.pending.keys(), ...busyVms()]),
-      fitsPool: (vm, pool) => !misfits.has(`${vm.name} ${pool}`),
-      keptBy,
+      fitsPool: (vm, pool) => !incompatible.has(`${vm.name} ${pool}`),
+      vmsToKeep,
     })
     reserved = new Set(moves.map(({ vm }) => vm.name))
-    const { isEmpty } = look()
+    const { isEmpty } = getView()
     const possible = moves.filter(({ vm }) => isEmpty(vm))
-    const allowed = budget.take(possible.length, monotonicMs())
+    const allowed = rateLimiter.take(possible.length, monotonicMs())
     await Promise.all(possible.slice(0, allowed).map(moveOne))
   }
 
   /** Resolves once a report has come since the last round, or after the usual time. */
-  async function nextRound(): Promise<void> {
-    if (reported) return
+  async function waitForNextRound(): Promise<void> {
+    if (hasNewReport) return
     const waiting = createStopController()
-    endWait = () => waiting.abort()
-    if (stopping.signal.aborted) endWait()
-    await sleep(ROUND_MS - MIN_ROUND_MS, waiting.signal)
+    cancelWait = () => waiting.abort()
+    if (stopping.signal.aborted) cancelWait()
+    await sleep(ROUND_INTERVAL_MS - MIN_ROUND_INTERVAL_MS, waiting.signal)
   }
 
   async function run(): Promise<void> {
     // The former owner's last order may still be under way, and must not come after ours.
     const ordersOverAt = authority.predecessorLeaseOverAt + ORDER_IN_FLIGHT_MS
     await sleep(Math.max(0, ordersOverAt - monotonicMs()), stopping.signal)
-    decidesSince = monotonicMs()
-    const steps = { waves, orders, emptying, hurried, look }
+    firstDecisionAt = monotonicMs()
+    const steps = { waves, orders, emptying, hurried, getView }
     while (!stopping.signal.aborted) {
-      reported = false
+      hasNewReport = false
       if (authority.isConfirmed()) {
         await readList()
         await advanceWaves(steps, configuration.waves())
         if (vms.size > 0) await balancePools()
       }
-      await sleep(MIN_ROUND_MS, stopping.signal)
-      await nextRound()
+      await sleep(MIN_ROUND_INTERVAL_MS, stopping.signal)
+      await waitForNextRound()
     }
   }
   const task = run()
@@ -214,9 +217,9 @@
   return {
     report(report) {
       const evacuate = targetsOf(closedVms())
-      if (!reports.take(openOthers(report, evacuate))) return undefined
-      reported = true
-      endWait()
+      if (!reports.accept(applyAnswer(report, evacuate))) return undefined
+      hasNewReport = true
+      cancelWait()
       return {
         evacuate,
         hurry: targetsOf([...hurried].filter((name) => emptying.has(name))),
@@ -225,7 +228,7 @@
     },
     async stop() {
       stopping.abort()
-      endWait()
+      cancelWait()
       await task
     },
   }
@@ -235,7 +238,7 @@
  * The report as it is once its owner has the answer, which opens what it does not name:
  * the owner may start tasks there at once.
  */
-function openOthers(report: ServiceReport, closed: string[]): ServiceReport {
+function applyAnswer(report: ServiceReport, closed: string[]): ServiceReport {
   const targets = report.targets.map((load) => ({
     ...load,
     evacuating: load.evacuating && closed.includes(load.id),
--- a/src/vms/reportBook.ts
+++ b/src/vms/latestReports.ts
@@ -4,12 +4,12 @@
 import type { ServiceReport, TargetLoad } from './types.js'
 
 /** Reports by service. */
-export interface ReportBook {
+export interface LatestReports {
   /**
    * False for a report that is not the newest of its service: an owner that has been
    * deposed may go on for a while, and a slow call may come after newer ones.
    */
-  take(report: ServiceReport): boolean
+  accept(report: ServiceReport): boolean
   /**
    * Reports that are recent enough to act on, by service.
    * @param maxAgeMs oldest report that counts
@@ -30,7 +30,7 @@
   (report.term === known.term && report.sequence > known.sequence)
 
 /** Creates an empty book. */
-export function createReportBook(): ReportBook {
+export function createLatestReports(): LatestReports {
   /** With the steady time at which it came, in ms. */
   const reports = new Map<string, { report: ServiceReport; at: number }>()
 
@@ -43,7 +43,7 @@
   }
 
   return {
-    take(report) {
+    accept(report) {
       const known = reports.get(report.service)
       if (known && !isNewer(report, known.report)) return false
       reports.set(report.service, { report, at: monotonicMs() })
--- a/src/vms/poolPlanner.ts
+++ b/src/vms/poolPlanner.ts
@@ -1,7 +1,7 @@
 /** Decides how many VMs each pool should have, and which VMs move. Pure. */
 import type { Vm } from '../ports/index.js'
 import type { ServiceReport, TargetLoad } from './types.js'
-import { PLANNED_USE, UNFAIR_RATIO } from './constants.js'
+import { PLANNED_UTILIZATION, MAX_PRESSURE_RATIO } from './constants.js'
 
 /** A VM that should change pool. */
 export interface PlannedMove {
@@ -25,13 +25,13 @@
   /** Whether the VM can be in the pool at all. */
   fitsPool(vm: Vm, pool: string): boolean
   /** VMs that a service should keep rather than park, given what it needs now. */
-  keptBy(service: string, needed: number): number
+  vmsToKeep(service: string, needed: number): number
 }
 
 /** VMs that a service needs for so much processor room. */
 export function neededVms(report: ServiceReport, cpu: number, cpuPerVm: number): number {
   if (cpuPerVm <= 0) return report.minTargets
-  const byLoad = Math.ceil(cpu / (cpuPerVm * PLANNED_USE))
+  const byLoad = Math.ceil(cpu / (cpuPerVm * PLANNED_UTILIZATION))
   return Math.max(1, report.minTargets, byLoad)
 }
 
@@ -85,7 +85,7 @@
     const needed = neededBy.get(service) ?? 0
     gaps.timely.set(service, neededVms(report, report.timelyCpu, cpuPerVm) - there)
     gaps.now.set(service, needed - there)
-    gaps.kept.set(service, input.keptBy(service, needed) - there)
+    gaps.kept.set(service, input.vmsToKeep(service, needed) - there)
   }
   return gaps
 }
@@ -95,7 +95,7 @@
   spare: Vm[]
   idle: Vm[]
   /** Those with tasks that end by themselves: they are closed now and move once idle. */
-  passing: Vm[]
+  withFiniteTasks: Vm[]
   /** Idle ones that work badly: a move gives them a new life. */
   suspect: Vm[]
 }
@@ -116,7 +116,9 @@
     spare: free.filter((vm) => vm.pool === sparePool),
     idle: sound.filter((vm) => isIdle(loadOf(vm))),
     suspect: used.filter((vm) => loadOf(vm)?.suspect && isIdle(loadOf(vm))),
-    passing: sound.filter((vm) => !isIdle(loadOf(vm)) && loadOf(vm)?.lasting === 0),
+    withFiniteTasks: sound.filter(
+      (vm) => !isIdle(loadOf(vm)) && loadOf(vm)?.lasting === 0,
+    ),
   }
 }
 
@@ -148,7 +150,7 @@
   const movable = findMovable(input, loads)
   const moves: PlannedMove[] = []
 
-  const change = (pool: string, by: number): void => {
+  const adjustGaps = (pool: string, by: number): void => {
     for (const each of Object.values(gaps) as Gaps[]) {
       const gap = each.get(pool)
       if (gap !== undefined) each.set(pool, gap + by)
@@ -157,8 +159,8 @@
   const move = (vm: Vm, pool: string): void => {
     moves.push({ vm, pool })
     for (const list of Object.values(movable) as Vm[][]) removeFrom(list, vm)
-    change(pool, -1)
-    if (!loads.get(vm.targetId)?.suspect) change(vm.pool, 1)
+    adjustGaps(pool, -1)
+    if (!loads.get(vm.targetId)?.suspect) adjustGaps(vm.pool, 1)
   }
   /** Whether no other VM of its pool stays: better a bad one than none until another comes. */
   const isLast = (vm: Vm): boolean =>
@@ -173,7 +175,7 @@
     )
 
   /** Fills the gaps from the lists, in their order, without opening others. */
-  const fill = (wanted: Gaps, donors: Vm[][]): void => {
+  const fillGaps = (wanted: Gaps, donors: Vm[][]): void => {
     const findFor = (service: string): Vm | undefined => {
       for (const list of donors) {
         const found = list.find(
@@ -199,7 +201,7 @@
   }
 
   /** The pool whose service needs the most times its VMs; undefined when none needs more. */
-  function neediest(): string | undefined {
+  function highestPressurePool(): string | undefined {
     const wanting = [...gaps.now].filter(([, gap]) => gap > 0)
     const [first] = wanting.sort((a, b) => pressure(b[0]) - pressure(a[0]))
     return first?.[0]
@@ -212,28 +214,33 @@
    * Whether the pool can spare one VM for another whose service waits far longer. One that has
    * enough gives those that are idle, and the others once they are.
    */
-  const mayGive = (pool: string, to: string): boolean =>
+  const mayDonate = (pool: string, to: string): boolean =>
     pool !== to &&
     (gaps.now.get(pool) ?? -1) >= 0 &&
     (gaps.timely.get(pool) ?? 0) < 0 &&
-    pressure(to) > pressure(pool) * UNFAIR_RATIO
+    pressure(to) > pressure(pool) * MAX_PRESSURE_RATIO
 
   /** Moves VMs to where late work waits longest, until no pool waits far longer than another. */
-  function shareLate(): void {
+  function balanceLateWork(): void {
     for (;;) {
-      const to = neediest()
+      const to = highestPressurePool()
       if (to === undefined) return
-      const vm = [...movable.idle, ...movable.passing].find(
-        (each) => mayGive(each.pool, to) && fitsPool(each, to),
+      const vm = [...movable.idle, ...movable.withFiniteTasks].find(
+        (each) => mayDonate(each.pool, to) && fitsPool(each, to),
       )
       if (!vm) return
       move(vm, to)
     }
   }
 
-  fill(gaps.timely, [movable.spare, movable.idle, movable.suspect, movable.passing])
-  fill(gaps.now, [movable.spare, movable.idle, movable.suspect])
-  shareLate()
+  fillGaps(gaps.timely, [
+    movable.spare,
+    movable.idle,
+    movable.suspect,
+    movable.withFiniteTasks,
+  ])
+  fillGaps(gaps.now, [movable.spare, movable.idle, movable.suspect])
+  balanceLateWork()
   if (sparePool === undefined) return moves
   // A VM that works badly leaves even where it is missed, and comes back as a new life.
   for (const vm of [...movable.suspect]) {
--- a/src/vms/vmOrders.ts
+++ b/src/vms/vmOrders.ts
@@ -3,7 +3,7 @@
 import type { Vm, VmCloud, VmOrderAnswer } from '../ports/index.js'
 import { describeError, monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { ORDER_SETTLE_MS, TELL_ENDED_MS } from './constants.js'
+import { ORDER_VISIBLE_WITHIN_MS, REPORT_ENDED_MS } from './constants.js'
 
 /** An order that the list does not show yet. */
 export interface PendingOrder {
@@ -27,7 +27,7 @@
   /** Undefined when the order was not given or not answered. */
   maintain(vm: Vm, wave: number): Promise<VmOrderAnswer | undefined>
   /** Forgets the orders that a list asked for at `sentAt` shows, or that it never will. */
-  settle(vms: ReadonlyMap<string, Vm>, sentAt: number): void
+  applyList(vms: ReadonlyMap<string, Vm>, sentAt: number): void
   /** Pools that VMs are on their way to. */
   movingTo(): Map<string, string>
   /** Lives that orders have ended lately, as the list shows. */
@@ -46,9 +46,9 @@
   const pending = new Map<string, PendingOrder>()
   /** Lives that our orders have ended, with the time of the order. */
   const ended = new Map<string, number>()
-  const by = { holder: opts.holder, token: authority.term }
+  const sender = { holder: opts.holder, token: authority.term }
 
-  async function give(
+  async function sendOrder(
     vm: Vm,
     order: Pick<PendingOrder, 'kind' | 'pool'>,
     send: () => ReturnType<VmCloud['move']>,
@@ -56,7 +56,7 @@
     if (!authority.isConfirmed()) return undefined
     const at = monotonicMs()
     const { targetId } = vm
-    pending.set(vm.name, { ...order, targetId, at, until: at + ORDER_SETTLE_MS })
+    pending.set(vm.name, { ...order, targetId, at, until: at + ORDER_VISIBLE_WITHIN_MS })
     const res = await send()
     const answer = res.isOk() ? res.value : undefined
     const reason = res.isErr() ? describeError(res.error) : ''
@@ -71,29 +71,29 @@
    * Compares an order with a later reading of the list. Only that shows that a life is
    * over: an order that was done already is accepted as well, and ends nothing.
    */
-  function settleOne(
+  function applyListTo(
     name: string,
     order: PendingOrder,
     vm: Vm | undefined,
     readAt: number,
   ): void {
-    const over = !vm || vm.state !== 'up' || vm.targetId !== order.targetId
-    if (over && order.targetId !== '') ended.set(order.targetId, monotonicMs())
-    if (over || readAt > order.until) pending.delete(name)
+    const isOver = !vm || vm.state !== 'up' || vm.targetId !== order.targetId
+    if (isOver && order.targetId !== '') ended.set(order.targetId, monotonicMs())
+    if (isOver || readAt > order.until) pending.delete(name)
   }
 
   return {
     pending,
     move: (vm, pool) =>
-      give(vm, { kind: 'move', pool }, () => cloud.move(vm.name, pool, by)),
+      sendOrder(vm, { kind: 'move', pool }, () => cloud.move(vm.name, pool, sender)),
     maintain: (vm, wave) =>
-      give(vm, { kind: 'maintain', pool: vm.pool }, () =>
-        cloud.maintain(vm.name, wave, by),
+      sendOrder(vm, { kind: 'maintain', pool: vm.pool }, () =>
+        cloud.maintain(vm.name, wave, sender),
       ),
-    settle(vms, sentAt) {
+    applyList(vms, sentAt) {
       for (const [name, order] of pending) {
         // A reading from before the order says nothing about it.
-        if (sentAt >= order.at) settleOne(name, order, vms.get(name), sentAt)
+        if (sentAt >= order.at) applyListTo(name, order, vms.get(name), sentAt)
       }
     },
     movingTo() {
@@ -102,7 +102,7 @@
     },
     endedLives() {
       for (const [id, at] of ended) {
-        if (monotonicMs() - at > TELL_ENDED_MS) ended.delete(id)
+        if (monotonicMs() - at > REPORT_ENDED_MS) ended.delete(id)
       }
       return [...ended.keys()]
     },
--- a/src/vms/waveSteps.ts
+++ b/src/vms/waveSteps.ts
@@ -3,15 +3,15 @@
 import { monotonicMs } from '../shared/index.js'
 import {
   EMPTY_AND_MAINTAIN_MS,
-  WAVE_PATIENCE,
-  WAVE_SPARES_UNTIL,
+  WAVE_HURRY_AFTER,
+  WAVE_SPARE_ONLY_UNTIL,
   WAVE_TARGET,
 } from './constants.js'
 import type { VmOrders } from './vmOrders.js'
-import type { WaveBook, WaveProgress } from './waves.js'
+import type { WaveTracker, WaveProgress } from './waves.js'
 
 /** VMs of one service. */
-export interface Supply {
+export interface VmSupply {
   /** Those that are up and not being emptied. */
   usable: number
   /** Those that it needs for what can still be in time; at least one. */
@@ -26,24 +26,27 @@
   /** Whether nothing runs on the VM and its service starts nothing there any more. */
   isEmpty(vm: Vm): boolean
   /** VMs that the service of the VM may use and that it needs; undefined where unknown. */
-  supplyOf(vm: Vm): Supply | undefined
+  supplyOf(vm: Vm): VmSupply | undefined
 }
 
 /** What the steps work with; the two sets are shared with the owner of the fleet. */
 export interface WaveStepOptions {
-  waves: WaveBook
+  waves: WaveTracker
   orders: VmOrders
   /** VMs being emptied. */
   emptying: Set<string>
   /** VMs whose tasks do not hold up their wave any more. */
   hurried: Set<string>
-  look(): FleetView
+  getView(): FleetView
 }
 
 /** Carries out one step of every wave, and writes what has changed. */
-export async function advanceWaves(opts: WaveStepOptions, asked: Wave[]): Promise<void> {
+export async function advanceWaves(
+  opts: WaveStepOptions,
+  requested: Wave[],
+): Promise<void> {
   const { waves, emptying, hurried } = opts
-  await waves.update(asked)
+  await waves.update(requested)
   for (const progress of waves.active()) await advanceWave(opts, progress)
   for (const name of [...emptying, ...hurried]) {
     const wanted = waves.active().some(({ wave, begun }) => {
@@ -53,12 +56,12 @@
     emptying.delete(name)
     hurried.delete(name)
   }
-  await waves.save(opts.look().vms)
+  await waves.save(opts.getView().vms)
 }
 
 async function advanceWave(opts: WaveStepOptions, progress: WaveProgress): Promise<void> {
   const { waves, orders, emptying, hurried } = opts
-  const view = opts.look()
+  const view = opts.getView()
   const { wave } = progress
   const used = (monotonicMs() - progress.seenAt) / wave.durationMs
   const pending = waves
@@ -77,7 +80,7 @@
       free--
       emptying.add(vm.name)
     } else emptying.delete(vm.name)
-    if (used > WAVE_PATIENCE) hurried.add(vm.name)
+    if (used > WAVE_HURRY_AFTER) hurried.add(vm.name)
   }
 }
 
@@ -88,7 +91,7 @@
  */
 function canSpare(vm: Vm, view: FleetView, used: number): boolean {
   const supply = view.supplyOf(vm)
-  return !supply || supply.usable > supply.needed || used > WAVE_SPARES_UNTIL
+  return !supply || supply.usable > supply.needed || used > WAVE_SPARE_ONLY_UNTIL
 }
 
 async function maintain(
--- a/src/vms/waves.ts
+++ b/src/vms/waves.ts
@@ -37,7 +37,7 @@
 }
 
 /** The waves that this owner has seen. */
-export interface WaveBook {
+export interface WaveTracker {
   /** Waves that are not completed. */
   active(): WaveProgress[]
   /** Brings the book up to date with the waves that the operators ask for. */
@@ -51,15 +51,15 @@
 }
 
 /** Creates an empty book; rows are read as waves are asked for. */
-export function createWaveBook(opts: {
+export function createWaveTracker(opts: {
   store: RowStore
   authority: Authority
   status: Documents['waveStatus']
   log: Logger
-}): WaveBook {
+}): WaveTracker {
   const { store, authority, status, log } = opts
   const waves = new Map<number, WaveProgress>()
-  const unread = createUnreadRows(log, WAVES_TABLE)
+  const unreadableRows = createUnreadRows(log, WAVES_TABLE)
 
   const rowKey = (id: number): RowKey => ({
     table: WAVES_TABLE,
@@ -79,7 +79,7 @@
     const row = rows.value.rows[0]
     const known = row && decodeWaveRow(row.value)
     // Asked again, the cloud does what it has done already at once: no VM is left out.
-    if (row && !known) unread.note(row.key, 'its VMs are ordered again')
+    if (row && !known) unreadableRows.note(row.key, 'its VMs are ordered again')
     const begun = new Set(known?.begun)
     const seenAt = monotonicMs()
     waves.set(wave.id, { wave, begun, seenAt, status: 'new', dirty: false })
@@ -127,8 +127,8 @@
 
   return {
     active: () => [...waves.values()].filter((each) => each.status !== 'completed'),
-    async update(asked) {
-      for (const wave of asked) if (!waves.has(wave.id)) await load(wave)
+    async update(requested) {
+      for (const wave of requested) if (!waves.has(wave.id)) await load(wave)
     },
     pending,
     markBegun(progress, vm) {
