--- a/src/ownership/authority.ts
+++ b/src/ownership/authority.ts
@@ -1,58 +1,59 @@
-/** The right to act for a service, and what is started with it. */
+/** Authority to act as the owner of a service, and the owner that runs under it. */
 import type { RowCondition, StoredRow } from '../ports/index.js'
 import { GRACE_MS } from './constants.js'
 import { epochKey, isSameOwner } from './epochRow.js'
 import type { EpochRow } from './epochRow.js'
 
-/** The right to act for a service. */
+/** Authority of this node to act as the owner of a service. */
 export interface Authority {
   readonly service: string
   readonly term: number
-  /** Whether the predecessor may still be acting, out of touch with the store. */
+  /** Whether the previous owner may still be active without a connection to the store. */
   readonly predecessorMayLive: boolean
-  /** Steady time at which the predecessor's lease was over for certain, in ms. */
+  /** Monotonic time by which the previous owner's lease has certainly ended, in ms. */
   readonly predecessorLeaseOverAt: number
-  /** Condition that every durable write of the owner carries. */
+  /** Condition on the epoch row that every durable write of the owner carries. */
   epoch(): RowCondition
   /**
-   * Whether the rows that a refused write was shown have this owner's epoch. A newer version of
-   * it counts from then on: an owner that makes sure that nobody took over writes one, and its
-   * other writes may be refused for it before it has heard that it was done.
+   * Returns whether the rows returned with a rejected write contain this owner's epoch; if so,
+   * later writes use the version found there. An owner that checks that no other node took over
+   * rewrites its epoch row, and its other writes may be rejected for that before the answer to
+   * the rewrite arrives.
    */
   adoptEpoch(current: readonly StoredRow[]): boolean
-  /** Whether orders may be given now. Asked right before each of them. */
+  /** Whether orders may be sent now. Checked right before each order. */
   mayOrder(): boolean
-  /** Whether the lease is confirmed, not only in its grace time. */
+  /** Whether the lease is valid, as opposed to expired but within the grace period. */
   isConfirmed(): boolean
-  /** Time until the confirmed lease ends, in ms; not above 0 when it has. */
+  /** Time until the confirmed lease ends, in ms; 0 or negative once it has ended. */
   leaseLeftMs(): number
-  /** Whether it is over for good; one that may give no orders now may be confirmed later. */
+  /** Whether the authority is lost for good; one that only lapsed may be confirmed again. */
   isLost(): boolean
-  /** Tells that a write was refused because the epoch has changed. */
+  /** Reports that a write or an order was rejected because a newer owner exists. */
   lost(reason: string): void
 }
 
-/** What runs while a service is owned. */
+/** Component that runs while this node owns a service. */
 export interface Owner {
-  /** Ends it; `handOver` when another node takes over in a planned way. */
+  /** Stops it; `handOver` is true when another node takes over as planned. */
   stop(handOver: boolean): Promise<void>
 }
 
 /** A service that this node owns. */
 export interface OwnedService {
-  /** Undefined while it starts. */
+  /** Undefined until it has started. */
   owner: Owner | undefined
   /** Version of the epoch row. */
   version: number
   row: EpochRow
-  /** Steady time up to which the ownership holds for certain, in ms: the end of its lease. */
+  /** Lease-clock time until which ownership is certain, in ms: the end of the lease. */
   confirmedUntil: number
-  /** Whether the epoch row is being written to see that it still holds. */
+  /** Whether the epoch row is being rewritten to check that no other node took over. */
   confirming: boolean
   lost: boolean
 }
 
-/** The authority over a service, as long as it is held. */
+/** Creates the authority over a service that this node owns. */
 export function createAuthority(opts: {
   service: string
   owned: OwnedService
--- a/src/ownership/claimRules.ts
+++ b/src/ownership/claimRules.ts
@@ -1,22 +1,23 @@
-/** Who may claim a service, judged by the rows of the nodes. */
+/** Rules for who may claim a service, based on the rows of the nodes. */
 import { NODE_LEASE_MS } from './constants.js'
 import type { EpochRow } from './epochRow.js'
 import type { Member, Membership } from './membership.js'
 
-/** Whether another live node says that it owns the service. */
+/** Whether another live node lists the service as its own. */
 export function isOwnedElsewhere(nodes: Membership, service: string): boolean {
   const owner = nodes.ownerOf(service)
   return owner !== undefined && owner.id !== nodes.self.id
 }
 
 /**
- * Candidates for one more service, the best first: those that own least for their room,
- * equal ones by name.
+ * Sorts the candidates for one more service: those with the lowest load for their capacity first,
+ * equal ones by id.
  *
- * Owners that stand side by side are meant to: a turn needs its owner, the
- * fleet's owner and the cloud at once, and with owners spread over three data halls any cut
- * takes one of them. Spread, a day with a cut was worth 0.23, 0.24, 0.25, 0.34 and 0.35 in
- * five plays, two of them with too little served; by name 0.29, 0.30, 0.30 and 0.34, none.
+ * Owners are deliberately not spread over data halls. A queue at its turn needs its own owner, the
+ * fleet's owner and the cloud at the same time, and with owners spread over three halls the loss of
+ * any hall takes one of them away. With a hall cut off, spread owners yield 0.23, 0.24, 0.25, 0.34
+ * and 0.35 of the possible worth and serve too little in two of these five cases; owners sorted by
+ * id yield 0.29, 0.30, 0.30 and 0.34 and always serve enough.
  */
 function sortByLoad(candidates: Member[], counts: Map<string, number>): Member[] {
   const loadOf = (each: Member): number => ((counts.get(each.id) ?? 0) + 1) / each.room
@@ -24,11 +25,11 @@
 }
 
 /**
- * Position of this node among those that may take a service; 0 comes first. Services that
- * have no owner at the same time are dealt out in their order, so that each goes to
- * another node.
- * @param position place of the service among those that have no owner
- * @param ownCount services that this node owns or claims
+ * Rank of this node among the candidates for a service, starting at 0; undefined when it is no
+ * candidate. Services that lack an owner at the same time are assigned one after another, each
+ * counted as load of its new owner, so that they go to different nodes.
+ * @param position index of the service among those that have no owner
+ * @param ownCount number of services that this node owns or is claiming
  */
 export function rankAmongCandidates(
   nodes: Membership,
@@ -48,8 +49,8 @@
 }
 
 /**
- * Whether the holder that the epoch row names has no right to the service any more.
- * @param unownedMs time for which no live node has listed the service
+ * Whether the node that the epoch row names no longer has a right to the service.
+ * @param unownedMs time for which no live node has listed the service, in ms
  */
 export function isHolderGone(
   nodes: Membership,
@@ -60,14 +61,15 @@
   if (row.node === '' || row.node === nodes.self.id) return true
   const member = nodes.members().find(({ id }) => id === row.node)
   if (!member || member.life !== row.life || nodes.isLapsed(member)) return true
-  // A live node that has long not listed a service does not know that it holds it.
+  // A live node that has not listed the service for this long does not know that it owns it.
   return !member.owns.includes(service) && unownedMs > 2 * NODE_LEASE_MS
 }
 
 /**
- * Steady time at which the former owner's lease is over for certain, in ms: it counts from
- * before the write that made the row that we have seen. A row that does not list the service
- * may be older than the claim, which we have seen just now.
+ * Lease-clock time by which the previous owner's lease has certainly ended, in ms; -Infinity when
+ * it has none. The lease starts before its row is written, and so before this node first read the
+ * row. A row that does not list the service may be older than the claim, which this node has just
+ * read; the lease then counts from `now`.
  */
 export function predecessorLeaseEndsAt(
   nodes: Membership,
@@ -77,13 +79,16 @@
 ): number {
   if (!mayPredecessorBeActive(nodes, row)) return -Infinity
   const member = nodes.members().find(({ id }) => id === row?.node)
-  // A row is removed only long after its lease.
+  // A row is removed only long after its lease has ended.
   if (!member) return -Infinity
   const leaseMs = Math.max(NODE_LEASE_MS, member.leaseMs)
   return (member.owns.includes(service) ? member.seenAt : now) + leaseMs
 }
 
-/** Whether the former owner may still act: only a silent one can. */
+/**
+ * Whether the previous owner may still be active. Only one that fell silent can be: not one that
+ * released the service or has restarted, nor this node.
+ */
 export function mayPredecessorBeActive(
   nodes: Membership,
   row: EpochRow | undefined,
--- a/src/ownership/epochRow.ts
+++ b/src/ownership/epochRow.ts
@@ -1,41 +1,41 @@
-/** Rows of epochs: the last owner of a service, and the term that fences earlier ones. */
+/** Epoch rows: the last owner of a service, and the term that fences earlier owners. */
 import { z } from 'zod'
 import type { RowKey, RowStore } from '../ports/index.js'
 import { parseJson } from '../shared/index.js'
 
-/** Rows of epochs; the part is the service, as for the rows that depend on them. */
+/** Table of epoch rows; the part is the service, as for the rows whose writes depend on them. */
 export const EPOCH_TABLE = 'epochs'
 const EPOCH_KEY = 'epoch'
 
 const epochSchema = z.object({
-  /** Empty when the last owner gave it up. */
+  /** Empty when the last owner released the service. */
   node: z.string(),
   life: z.string(),
-  /** Rises with each owner; fences the orders of earlier ones. */
+  /** Increases with each owner; the fencing token against orders of earlier owners. */
   term: z.int().min(0),
 })
-/** What an epoch row says. */
+/** Contents of an epoch row. */
 export type EpochRow = z.infer<typeof epochSchema>
 
-/** Reads an epoch row; undefined when it has the wrong shape. */
+/** Parses an epoch row; returns undefined when it has the wrong shape. */
 export function decodeEpoch(value: string): EpochRow | undefined {
   return epochSchema.safeParse(parseJson(value)).data
 }
 
 /**
- * A term above all before, where the last one is not known: terms rise by one with each
- * takeover, of which there is not one a second.
+ * Returns a term above all earlier ones, for when the last one is unknown: the time in seconds.
+ * Terms increase by one with each takeover, and there is less than one takeover a second.
  */
 export const termByClock = (): number => Math.floor(Date.now() / 1000)
 
-/** Where the epoch of a service lies. */
+/** Key of the epoch row of a service. */
 export const epochKey = (service: string): RowKey => ({
   table: EPOCH_TABLE,
   part: service,
   key: EPOCH_KEY,
 })
 
-/** Writes an epoch row over the version that is named; 0 for none. */
+/** Writes an epoch row if the stored one has the given version; 0 stands for no row. */
 export function writeEpoch(
   store: RowStore,
   service: string,
@@ -50,7 +50,7 @@
   })
 }
 
-/** Whether a row names the same owner as ours. */
+/** Whether a stored epoch row names the same owner as `row`. */
 export function isSameOwner(value: string, row: EpochRow): boolean {
   const current = decodeEpoch(value)
   return current?.life === row.life && current.term === row.term
--- a/src/ownership/index.ts
+++ b/src/ownership/index.ts
@@ -1,4 +1,4 @@
-/** Which nodes live and which of them owns which service. */
+/** Which nodes are alive, and which of them owns which service. */
 export * from './nodeRegistry.js'
 export * from './ownership.js'
 export type { Authority, Owner } from './authority.js'
--- a/src/ownership/leaseLength.ts
+++ b/src/ownership/leaseLength.ts
@@ -1,6 +1,7 @@
 /**
- * How long a lease an owner asks for: longer where its renewals come late, because its processor
- * or its link is full. A lapse then says that the node is gone, and not that it is busy.
+ * Length of the lease that an owner requests: longer while its renewals are slow because its
+ * processor or network link is saturated. An expired lease then means that the node is gone, not
+ * that it is busy.
  */
 import type { Logger } from '../shared/index.js'
 import {
@@ -10,27 +11,27 @@
   NODE_LEASE_MS,
 } from './constants.js'
 
-/** The lease that fits the last renewals. */
+/** Lease length derived from the most recent renewals. */
 export interface LeaseLength {
   /**
-   * Notes a renewal that was done.
-   * @param gapMs time from the sending of the one before to the answer of this one
+   * Records a successful renewal.
+   * @param intervalMs time from sending the previous renewal to the answer to this one
    */
-  recordRenewal(gapMs: number): void
+  recordRenewal(intervalMs: number): void
   /** Lease for the next row, in ms. */
   ms(): number
 }
 
-/** Change of the lease that is told, as a share of the one told last. */
+/** Smallest change of the lease that is logged, as a share of the lease logged last. */
 const MIN_LOGGED_CHANGE = 0.25
 
-/** Starts with the usual lease. */
+/** Creates a lease length that starts at `NODE_LEASE_MS`. */
 export function createLeaseLength(log: Logger): LeaseLength {
   let intervalsMs: number[] = []
   let ms = NODE_LEASE_MS
   let loggedMs = ms
 
-  /** Told when it has changed by so much, so that a node which is missed late is explained. */
+  /** Logs a large change, which explains why the loss of this node is detected later. */
   function logChange(): void {
     if (Math.abs(ms - loggedMs) < loggedMs * MIN_LOGGED_CHANGE) return
     log.event('ownerLease', { leaseMs: Math.round(ms), previousMs: Math.round(loggedMs) })
@@ -38,8 +39,8 @@
   }
 
   return {
-    recordRenewal(gapMs) {
-      intervalsMs = [...intervalsMs, gapMs].slice(-LATE_LEASE_SAMPLES)
+    recordRenewal(intervalMs) {
+      intervalsMs = [...intervalsMs, intervalMs].slice(-LATE_LEASE_SAMPLES)
       const [, secondLongestMs = 0] = [...intervalsMs].sort((a, b) => b - a)
       const requiredMs = secondLongestMs * LATE_LEASE_INTERVALS
       ms = Math.min(LATE_LEASE_MAX_MS, Math.max(NODE_LEASE_MS, requiredMs))
--- a/src/ownership/membership.ts
+++ b/src/ownership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * The nodes as their rows say, and which of them live: a node whose row has stood still for
- * longer than its lease, on our own steady clock, does not.
+ * The nodes according to their rows, and which of them are alive. A node counts as dead once its
+ * row has been unchanged for longer than its lease, measured on the local lease clock.
  */
 import type { RowChange } from '../ports/index.js'
 import { createUnreadRows } from '../shared/index.js'
@@ -10,43 +10,43 @@
 import type { NodeRow } from './nodeRow.js'
 import type { NodeRowUpdate } from './nodeRowReader.js'
 
-/** A node as last seen. */
+/** A node as last read. */
 export interface Member extends NodeRow {
   id: string
-  /** Part of the store in which this version was seen. */
+  /** Part of the store from which this version was read. */
   part: string
   version: number
-  /** Steady time at which this version was first seen, in ms. */
+  /** Lease-clock time at which this version was first read, in ms. */
   seenAt: number
 }
 
-/** The nodes, for those who ask. */
+/** Read access to the known nodes. */
 export interface Membership {
   readonly self: { id: string; life: string }
   members(): Member[]
-  /** Whether a node's row has stood still for longer than its lease. */
+  /** Whether a node's row has been unchanged for longer than its lease. */
   isLapsed(member: Member): boolean
-  /** Live nodes that take on services, this one included while it is alive itself. */
+  /** Live nodes that accept services; includes this node while its own lease is valid. */
   candidates(): Member[]
-  /** The live node that says it owns the service. */
+  /** The live node that lists the service as its own. */
   ownerOf(service: string): Member | undefined
 }
 
-/** The nodes, for the one who reads their rows. */
+/** The known nodes, updated from their rows. */
 export interface MembershipTracker extends Membership {
-  /** Takes a row of any node. Readings overtake each other: one that is not newer is none. */
+  /** Applies a row of any node. Reads can complete out of order, so older rows are ignored. */
   applyRow(row: RowChange): void
   /**
-   * Takes what a reading has brought.
-   * @param sentAt steady time at which it began, in ms
-   * @param gapMs time without a reading after which rows that stand still say nothing yet
+   * Applies the result of a read.
+   * @param sentAt lease-clock time at which the read began, in ms
+   * @param gapMs time without a read after which unchanged rows do not yet mean dead nodes
    */
   applyUpdate(reading: NodeRowUpdate, sentAt: number, gapMs: number): void
-  /** Another node whose lease has been over for so long. */
+  /** Another node whose lease ended more than `ms` ago; undefined when there is none. */
   findDead(ms: number): Member | undefined
 }
 
-/** Creates a book without nodes. */
+/** Creates a tracker that knows no nodes yet. */
 export function createMembershipTracker(opts: {
   self: Membership['self']
   log: Logger
@@ -55,11 +55,11 @@
   const { self, log, now } = opts
   const members = new Map<string, Member>()
   const unreadableRows = createUnreadRows(log, NODES_TABLE)
-  /** Start of the last reading, and of the first one since the last gap. */
+  /** Start of the last read, and of the first read after the last gap, on the lease clock. */
   let lastReadAt = -Infinity
   let firstReadAfterGapAt = -Infinity
 
-  /** A row that was seen to stand still counts, not one that we could not read. */
+  /** Only a row that was read and found unchanged counts, not one that could not be read. */
   const isLapsed = (member: Member): boolean =>
     lastReadAt - member.seenAt > member.leaseMs + TAKEOVER_MARGIN_MS &&
     lastReadAt - firstReadAfterGapAt > READ_GAP_GRACE_MS
@@ -73,7 +73,7 @@
       return
     }
     const node = decodeNode(row.value)
-    // A node that lives writes its row anew within its lease.
+    // A live node rewrites its row within its lease.
     if (!node) return unreadableRows.note(row.key, 'counts as not renewed')
     unreadableRows.clear(row.key)
     if (!known && lastReadAt > -Infinity)
@@ -101,7 +101,7 @@
         for (const key of members.keys()) if (!keys.has(key)) members.delete(key)
       }
       for (const row of rows) applyRow(row)
-      // 97 nodes that started together wrote 8,730 lines of one node each.
+      // One event for all nodes: 97 nodes that start together would log 8,730 single ones.
       if (lastReadAt === -Infinity) log.event('nodesSeen', { count: members.size })
       else if (sentAt - lastReadAt > gapMs) firstReadAfterGapAt = sentAt
       lastReadAt = Math.max(lastReadAt, sentAt)
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -1,4 +1,4 @@
-/** Renews this node's row, and reads those of the others, as often as either is needed. */
+/** Renews this node's row and reads those of the other nodes, each as often as needed. */
 import type { RowStore } from '../ports/index.js'
 import { createStopController, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
@@ -28,50 +28,51 @@
 import { createNodeRowReader } from './nodeRowReader.js'
 import { createNodeRowWriter } from './nodeRowWriter.js'
 
-/** Told of each renewal. */
+/** Called after each renewal with the lease-clock time at which it was sent, in ms. */
 type RenewalListener = (sentAt: number, lapsed: boolean) => void
 
-/** This node's row, kept fresh, and the rows of the others. */
+/** Keeps this node's row renewed and the rows of the other nodes current. */
 export interface NodeRegistry extends Membership {
-  /** Writes our row now, because what it says has changed. */
+  /** Writes this node's row now, because its contents have changed. */
   renewNow(): Promise<void>
-  /** Whether the store answered lately. */
+  /** Whether the store answers and this node's lease is valid. */
   isConnected(): boolean
-  /** Whether our row was renewed within the lease of an owner, so that we may become one. */
+  /** Whether this node's row was renewed within an owner's lease, so that it may become one. */
   mayClaim(): boolean
   /**
-   * Called after each renewal.
-   * @param listener `lapsed` is true when the lease had run out before it.
+   * Registers a listener that is called after each renewal.
+   * @param listener `lapsed` is true when the lease had expired before the renewal.
    */
   onRenewed(listener: RenewalListener): void
   /**
-   * Until when a right to a service holds that was written at `sentAt`. The others wait for the
-   * lease of our row, so that it is over with that: counted from the claim it overlapped with
-   * the next owner's for up to a lease, and a job that came meanwhile was run by both.
+   * Lease-clock time until which an ownership written at `sentAt` is valid, in ms. The other nodes
+   * wait for the lease of this node's row, so the ownership ends with that lease. Counted from the
+   * claim, it would overlap with the next owner's for up to a lease, and both would run a job that
+   * arrives in that time.
    */
   ownershipValidUntil(service: string, sentAt: number): number
-  /** Reads the rows of the other nodes now; false when the store did not answer. */
+  /** Reads the rows of the other nodes now; returns false when the store did not answer. */
   refresh(): Promise<boolean>
   /**
-   * The same unless it was done just now: somebody was not found where the rows said.
-   * Resolves when it is done.
+   * Does the same unless the rows were read just now; for callers that did not find an owner where
+   * the rows said. Resolves when the read is done.
    */
   refreshSoon(): Promise<void>
-  /** Reads the row of one node now; false when the store did not answer. */
+  /** Reads the row of one node now; returns false when the store did not answer. */
   refreshNode(id: string): Promise<boolean>
-  /** Time since the rows of the others were first read, in ms. */
+  /** Time since the rows of the other nodes were first read, in ms; 0 before that. */
   msSinceFirstRead(): number
   stop(): Promise<void>
 }
 
-/** What a node says of itself, and where. */
+/** Options of `createNodeRegistry`: the store, and what this node publishes about itself. */
 export interface NodeRegistryOptions {
   store: RowStore
   id: string
   life: string
   hall: string
   address: string
-  /** What this node can carry as an owner; 1 for a whole core. */
+  /** Capacity of this node as an owner; 1 for a whole core. */
   room: number
   /** Services that this node owns now. */
   owns(): string[]
@@ -80,7 +81,7 @@
   now?: () => number
 }
 
-/** Starts renewing this node's row and watching the others. */
+/** Starts renewing this node's row and reading those of the other nodes. */
 export function createNodeRegistry(opts: NodeRegistryOptions): NodeRegistry {
   const { store, id, life, log } = opts
   const now = opts.now ?? leaseNowMs
@@ -91,18 +92,18 @@
   const reader = createNodeRowReader(store)
   const writer = createNodeRowWriter(store, id)
   let renewedAt = -Infinity
-  /** Whether a try has failed since then: the store was late, and not this node. */
+  /** Whether an attempt has failed since then, so that the store was slow and not this node. */
   let hasFailedSinceRenewal = true
-  /** Services that our row lists. */
+  /** Services that the row lists as last written. */
   let writtenOwns: string[] = []
-  /** Lease that our row says. */
+  /** Lease that the row states as last written, in ms. */
   let leaseMs = NODE_LEASE_MS
   let pollIntervalMs = RENEW_MS
   let pollSentAt = -Infinity
   let firstReadAt: number | undefined
   let isStoreReachable = true
   let currentWrite: Promise<boolean> | undefined
-  /** The write after it, shared by all who ask during it. */
+  /** The write after the current one, shared by all callers during the current one. */
   let nextWrite: Promise<boolean> | undefined
   let refreshing: Promise<boolean> | undefined
 
@@ -112,7 +113,7 @@
     log.event(up ? 'platformBack' : 'platformDown', { reason })
   }
 
-  /** Writes this node's row once; false when that was not done, or is not known. */
+  /** Writes this node's row once; returns false when it failed or its outcome is unknown. */
   async function write(): Promise<boolean> {
     const sentAt = now()
     const owns = opts.owns()
@@ -146,7 +147,7 @@
     return true
   }
 
-  /** One write at a time; callers during a write share the one after it. */
+  /** Runs one write at a time; callers during a write share the next one. */
   function renew(): Promise<boolean> {
     if (!currentWrite) {
       currentWrite = write().finally(() => (currentWrite = undefined))
@@ -181,7 +182,7 @@
     await refreshing
   }
 
-  /** Removes the row of one node that has long been silent. */
+  /** Removes the row of one node whose lease ended long ago. */
   async function removeDeadNode(): Promise<void> {
     const dead = membership.findDead(DEAD_NODE_RETENTION_MS)
     if (!dead) return
@@ -193,13 +194,13 @@
 
   const isOwner = (): boolean => opts.owns().length > 0
 
-  /** Whether this node owns something, or is among the next to do so. */
+  /** Whether this node owns a service or is a standby for the next one. */
   function isOwnerOrStandby(): boolean {
     const rank = rankAmongCandidates(membership, 0, opts.owns().length)
     return isOwner() || (rank !== undefined && rank < STANDBY_NODES)
   }
 
-  /** Time between two renewals while nothing is owned; the more nodes, the longer. */
+  /** Interval between two renewals while nothing is owned; grows with the number of nodes. */
   function idleRenewIntervalMs(): number {
     if (isOwnerOrStandby()) return IDLE_PACE_MS
     return Math.max(
@@ -210,7 +211,7 @@
 
   function renewalDelayMs(done: boolean): number {
     if (isOwner()) return done ? RENEW_MS : STORE_RETRY_MS
-    // By what our row says: the others miss us after the lease that they have read.
+    // Based on the written lease: the other nodes treat this node as dead after that one.
     return done ? leaseMs / IDLE_LEASE_PACES : IDLE_RETRY_MS
   }
 
@@ -224,10 +225,10 @@
   async function runPolls(): Promise<void> {
     while (!stopping.signal.aborted) {
       const done = await poll()
-      // Nodes start together: a few quick looks find those that are a moment behind.
+      // Nodes start together: a few quick reads find those that start slightly later.
       const isDiscovering = registry.msSinceFirstRead() < SETTLE_MS
       const pollsOften = isDiscovering || isOwnerOrStandby()
-      // It may have become one of the next: only a fresh row lets it claim anything.
+      // The node may have just become a standby, and may claim only with a recently renewed row.
       if (done && pollsOften && now() - renewedAt > NODE_LEASE_MS) void renew()
       pollIntervalMs = pollsOften
         ? RENEW_MS
@@ -251,7 +252,7 @@
     mayClaim: () => isStoreReachable && now() - renewedAt < NODE_LEASE_MS,
     onRenewed: (listener) => void listeners.push(listener),
     ownershipValidUntil(service, sentAt) {
-      // For a row that does not list the service the others wait by a fixed time.
+      // While the row does not list the service, the other nodes wait for a fixed time.
       const lastsMs = writtenOwns.includes(service) ? leaseMs : NODE_LEASE_MS
       return Math.min(sentAt, renewedAt) + lastsMs
     },
--- a/src/ownership/nodeRowReader.ts
+++ b/src/ownership/nodeRowReader.ts
@@ -1,10 +1,10 @@
 /**
- * Follows the rows of all nodes: a full reading first, then only what has changed. Each
- * node's row is a part of its own, because a part takes its writes one after another: in
- * one common part a slow store would not keep up with the renewals. There are a few such parts
- * for each node: where one is down, the node says in another that it lives. With one, an
- * outage of a fifth of the parts left 11 of 44 nodes silent and the fleet without orders for
- * 6 s; with two, two nodes, of which one owned the fleet.
+ * Reads the rows of all nodes: completely at first, then only the changes. Each node's row is in a
+ * part of its own, because a part applies its writes one after another: with one common part, a slow
+ * store could not keep up with the renewals. Each node has a few such parts, and renews its row in
+ * another one while the first is down. With one part per node, an outage of a fifth of the parts
+ * keeps 11 of 44 nodes from renewing and leaves the fleet without orders for 6 s; with two parts,
+ * it keeps two nodes from renewing, one of which can be the owner of the fleet.
  */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -12,28 +12,28 @@
 import type { PlatformError } from '../shared/index.js'
 import { NODES_TABLE } from './nodeRow.js'
 
-/** What a reading brought. */
+/** Result of a read. */
 export interface NodeRowUpdate {
-  /** Whether `rows` are all there are; otherwise they are what has changed. */
+  /** Whether `rows` holds all rows; otherwise it holds only the changes. */
   complete: boolean
   rows: RowChange[]
 }
 
-/** Reads the rows of nodes. */
+/** Reads node rows. */
 export interface NodeRowReader {
-  /** All rows at first and after a gap in the history, then the changes. */
+  /** Reads all rows at first and after a gap in the history, otherwise the changes. */
   read(): Promise<Result<NodeRowUpdate, PlatformError>>
   /**
-   * The newest row of one node as it is now, in the parts that can be read; undefined when
-   * there is none. An error when no part can be read, or the answer of one was lost.
+   * Reads the current row of one node, the newest from the parts that are up; undefined when there
+   * is none. Returns an error when no part can be read or the answer from one was lost.
    */
   readOne(id: string): Promise<Result<StoredRow | undefined, PlatformError>>
 }
 
-/** Parts for the row of a node: with a fifth of all parts down, one node in 600 has none. */
+/** Parts per node: with a fifth of all parts down, one node in 600 has none that is up. */
 const PARTS_PER_NODE = 4
 
-/** Where the row of a node may lie: in its own part, and in others when that is down. */
+/** Keys that a node's row can have: in its own part, and in others while that is down. */
 export const nodeKeys = (id: string): RowKey[] =>
   Array.from({ length: PARTS_PER_NODE }, (_, each) => ({
     table: NODES_TABLE,
@@ -41,13 +41,13 @@
     key: id,
   }))
 
-/** Creates a follower that has read nothing yet. */
+/** Creates a reader that has read nothing yet. */
 export function createNodeRowReader(store: RowStore): NodeRowReader {
-  /** Version to continue from; undefined asks for a full reading. */
+  /** Version after which changes are read; undefined when all rows must be read. */
   let version: number | undefined
 
   async function readAll(): Promise<Result<NodeRowUpdate, PlatformError>> {
-    // From before the parts are listed, so that a part that comes meanwhile is a change.
+    // Taken before the parts are listed, so that a part added meanwhile shows up as a change.
     const before = await store.read(NODES_TABLE, '')
     if (before.isErr()) return err(before.error)
     const parts = await store.parts(NODES_TABLE)
@@ -77,8 +77,8 @@
   }
 
   /**
-   * The history from its beginning, in one call, where the store still has it: when all
-   * nodes start for the first time, each would read the part of each.
+   * Reads the history from its beginning in one call, if the store still has it. Otherwise, when
+   * all nodes start for the first time, every node would read the part of every other.
    */
   async function readFirst(): Promise<Result<NodeRowUpdate, PlatformError>> {
     const first = await readChanges(0)
@@ -92,7 +92,7 @@
         nodeKeys(id).map(({ table, part }) => store.read(table, part)),
       )
       const errors = found.flatMap((each) => (each.isErr() ? [each.error] : []))
-      // A part that refuses us is down; in one whose answer was lost the row may be newer.
+      // A part that refuses the read is down; where the answer was lost, the row may be newer.
       const lost = errors.find(({ failure }) => failure !== 'refused')
       const [first] = errors
       if (lost ?? (first && errors.length === found.length)) return err(lost ?? first!)
--- a/src/ownership/nodeRowWriter.ts
+++ b/src/ownership/nodeRowWriter.ts
@@ -1,4 +1,4 @@
-/** Writes the row of this node, in its own part of the store or, while that is down, in others. */
+/** Writes the row of this node to its own part of the store or, while that is down, to others. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import type { RowKey, RowStore } from '../ports/index.js'
@@ -8,20 +8,20 @@
 /** Writes the row of one node. */
 export interface NodeRowWriter {
   /**
-   * True when it was written; false when it must be tried again, because the row was
-   * another one than the last that we know of.
+   * Writes the row. Returns false when it must be written again, because the stored version was
+   * not the last known one.
    */
   write(value: string): Promise<Result<boolean, PlatformError>>
 }
 
-/** One place of the row. */
+/** One of the parts that can hold the row. */
 interface RowLocation {
   key: RowKey
-  /** Version that the row has there, 0 for none; undefined when it must be read first. */
+  /** Version of the row there, 0 for no row; undefined when it must be read first. */
   version: number | undefined
 }
 
-/** Creates the writer; nothing is known of the row yet. */
+/** Creates a writer that does not know the stored version yet. */
 export function createNodeRowWriter(store: RowStore, id: string): NodeRowWriter {
   const locations: RowLocation[] = nodeKeys(id).map((key) => ({
     key,
@@ -49,7 +49,7 @@
       removals: [],
     })
     if (res.isErr()) {
-      // It may have been written: its version must be read before the next try.
+      // The row may have been written: its version must be read before the next attempt.
       location.version = undefined
       return err(res.error)
     }
@@ -63,7 +63,7 @@
   const isRefused = (res: Result<boolean, PlatformError>): boolean =>
     res.isErr() && res.error.failure === 'refused'
 
-  /** Puts the first places last, so that the next write begins with the others. */
+  /** Moves the first locations to the end, so that the next write starts with the others. */
   const moveToEnd = (count: number): void =>
     void locations.push(...locations.splice(0, count))
 
@@ -72,7 +72,7 @@
       const [first, second] = locations as [RowLocation, RowLocation]
       const res = await writeAt(first, value)
       if (!isRefused(res)) return res
-      // Two places a write, so that a store that is down as a whole is not asked more often.
+      // At most two locations per write, to limit the calls to a store that is down as a whole.
       const other = await writeAt(second, value)
       moveToEnd(isRefused(other) ? 2 : 1)
       return other
--- a/src/ownership/ownership.ts
+++ b/src/ownership/ownership.ts
@@ -1,7 +1,7 @@
 /**
- * Who owns which service. The truth is one epoch row per service: whoever wrote it last
- * is the owner, and every durable write of an owner depends on its version. The rows of
- * the nodes only tell the others whom to ask.
+ * Claims and releases services. Each service has one epoch row: the node that wrote it last is the
+ * owner, and every durable write of the owner is conditional on the row's version. Node rows only
+ * tell the other nodes whom to call.
  */
 import type { RowStore } from '../ports/index.js'
 import {
@@ -42,23 +42,23 @@
 import { leaseNowMs } from './leaseClock.js'
 import type { NodeRegistry } from './nodeRegistry.js'
 
-/** The fleet of VMs is owned like a service, under a name that no service can have. */
+/** Name under which the fleet of VMs is owned like a service; no service can have it. */
 export const FLEET = '~fleet'
 
-/** The services that this node owns. */
+/** Claims services and owns them until they are lost or released. */
 export interface Ownership {
-  /** Gives everything up, for a planned stop. */
+  /** Releases all services, for a planned stop. */
   release(): Promise<void>
   stop(): Promise<void>
 }
 
-/** What claiming rests on. */
+/** Options of `createOwnership`. */
 export interface OwnershipOptions {
   store: RowStore
   registry: NodeRegistry
-  /** Services that need an owner now, the fleet included. */
+  /** Services that need an owner now, including the fleet. */
   names(): string[]
-  /** Starts what runs for a service that was claimed. */
+  /** Starts the owner of a service that was claimed. */
   start(authority: Authority): Promise<Owner>
   log: Logger
   now?: () => number
@@ -72,13 +72,13 @@
   const ownedServices = new Map<string, OwnedService>()
   const unownedSince = new Map<string, number>()
   const claiming = new Set<string>()
-  /** Versions of the epoch rows of others, with the steady times at which they were first read. */
+  /** Versions of epoch rows, with the lease-clock times at which they were first read. */
   const epochsSeen = new Map<string, { version: number; at: number }>()
   const unreadableRows = createUnreadRows(log, EPOCH_TABLE)
   const { id, life } = registry.self
   let releasing = false
 
-  /** Ends what runs for a service that another node owns now. */
+  /** Stops the owner of a service that another node has taken over. */
   async function stopLost(service: string, reason: string): Promise<void> {
     const owned = ownedServices.get(service)
     if (!owned) return
@@ -89,7 +89,7 @@
     void registry.renewNow()
   }
 
-  /** Steady time since which the epoch row has had the version, as far as we have seen. */
+  /** Lease-clock time at which the epoch row was first read with this version. */
   function epochSince(service: string, version: number): number {
     const known = epochsSeen.get(service)
     if (known?.version === version) return known.at
@@ -99,21 +99,21 @@
   }
 
   /**
-   * Whether an epoch row that cannot be read has stood for so long that a term above all
-   * before may replace it. With a lower one every target would fence us; left alone for ever
-   * it would keep the service from having an owner.
+   * Whether an epoch row with invalid contents has been unchanged for so long that it may be
+   * replaced by one with a term above all earlier ones. With a lower term, every target would
+   * fence this node; if the row were never replaced, the service would have no owner.
    */
   function mayReplaceUnreadable(service: string, version: number): boolean {
     unreadableRows.note(
       service,
-      `nobody may own the service for ${UNREADABLE_EPOCH_WAIT_MS} ms`,
+      `the service cannot be claimed for ${UNREADABLE_EPOCH_WAIT_MS} ms`,
     )
     return now() - epochSince(service, version) >= UNREADABLE_EPOCH_WAIT_MS
   }
 
-  /** Takes a service, unless its holder may still have a right to it. */
+  /** Claims a service, unless its current owner may still have a right to it. */
   async function claim(service: string): Promise<void> {
-    // What was seen of the others may be old: after a cut, say, or a long pause.
+    // The known rows may be outdated, for example after a network partition or a long pause.
     if (!(await registry.refresh()) || isOwnedElsewhere(registry, service)) return
     const found = await store.read(EPOCH_TABLE, service)
     if (found.isErr())
@@ -123,7 +123,7 @@
     const isUnread = stored !== undefined && before === undefined
     if (isUnread && !mayReplaceUnreadable(service, stored.version)) return
     if (!isUnread) unreadableRows.clear(service)
-    // Its row may have been renewed since the changes were read.
+    // The owner may have renewed its row since the changes were read.
     if (before && before.node !== '' && !(await registry.refreshNode(before.node))) return
     const unownedMs =
       now() -
@@ -147,7 +147,7 @@
     await startOwned(service, taken, isUnread ? 'unknown' : before)
   }
 
-  /** Starts what runs for a service that this node has just taken. */
+  /** Starts the owner of a service that this node has just claimed. */
   async function startOwned(
     service: string,
     owned: OwnedService,
@@ -177,7 +177,7 @@
     else owned.owner = owner
   }
 
-  /** After our lease had run out: makes sure that nobody took over, service by service. */
+  /** Checks that no other node took over a service after the lease of this node had expired. */
   async function confirm(service: string, owned: OwnedService): Promise<void> {
     if (owned.confirming) return
     owned.confirming = true
@@ -209,7 +209,7 @@
     }
   })
 
-  /** Claims a service once it has been without an owner for as long as our rank asks. */
+  /** Claims a service once it has had no owner for the delay that this node's rank requires. */
   function considerClaim(service: string): void {
     if (isOwnedElsewhere(registry, service)) return void unownedSince.delete(service)
     if (registry.msSinceFirstRead() < SETTLE_MS) return
@@ -243,7 +243,7 @@
   }
   const task = run()
 
-  /** Stops what runs for a service, and lets others claim it at once. */
+  /** Stops the owner of a service and lets other nodes claim the service at once. */
   async function releaseService(service: string): Promise<void> {
     const owned = ownedServices.get(service)
     if (!owned) return
@@ -254,13 +254,13 @@
     log.event('ownershipReleased', { service, term: owned.row.term, reason })
   }
 
-  /** Writes that nobody owns the service; returns why that could not be done. */
+  /** Writes that nobody owns the service; returns why that failed, or an empty string. */
   async function writeRelease(service: string, owned: OwnedService): Promise<string> {
     const given: EpochRow = { ...owned.row, node: '' }
     const endsAt = now() + RELEASE_TIMEOUT_MS
     for (;;) {
       const res = await writeEpoch(store, service, given, owned.version)
-      // A condition that does not hold: an earlier try was done, or somebody took over.
+      // A failed condition also ends it: an earlier attempt was applied, or a node took over.
       if (res.isOk()) return ''
       if (now() >= endsAt) return describeError(res.error)
       await sleep(jittered(STORE_RETRY_MS))
