--- a/src/fleet/checkedRow.ts
+++ b/src/fleet/checkedRow.ts
@@ -1,12 +1,12 @@
-/** Values of rows, each row checked once: watches keep the same object until it changes. */
+/** Validates row values, once per row: watches keep the same object until the row changes. */
 import type { z } from 'zod'
 import type { Row } from '../platform/index.js'
 
 const checkedRows = new WeakMap<Row, unknown>()
 
 /**
- * The row's value if it has the shape; undefined for no row or a wrong one.
- * @param onInvalid called the first time that a wrong row is looked at.
+ * Returns the value of a row that matches the schema; undefined for a missing or invalid row.
+ * @param onInvalid called the first time that an invalid row is checked
  */
 export function checkedValue<T>(
   row: Row | undefined,
--- a/src/fleet/records.ts
+++ b/src/fleet/records.ts
@@ -1,34 +1,34 @@
-/** Rows of VMs, jobs, waves, budgets and leases: shapes and keys. */
+/** Schemas and keys of the rows of VMs, jobs, waves, budgets, leases and halls. */
 import { z } from 'zod'
 
-/** What is being done to a VM; it stands in the VM's row until it is finished. */
+/** Operation in progress on a VM, kept in the VM's row until it is finished. */
 export const operationSchema = z.object({
-  /** Also the operation id of the platform calls, which are idempotent under it. */
+  /** Also the operation id of the platform calls, which makes them idempotent. */
   id: z.string(),
   kind: z.enum(['move', 'maintain']),
-  /** Pool after a move. */
+  /** Destination pool of a move. */
   toPool: z.string().optional(),
-  /** Wave of a maintenance. */
+  /** Wave that a maintenance belongs to. */
   wave: z.string().optional(),
-  /** Incarnation before a reboot. */
+  /** Incarnation of the VM before the reboot. */
   fromIncarnation: z.string(),
-  /** Services with an instance that the operation takes away, once per instance. */
+  /** Services whose instances the operation removes, listed once per instance. */
   services: z.array(z.string()),
 })
 export type Operation = z.infer<typeof operationSchema>
 
-/** Contents of `vms/<hall>/<id>`. A VM is in exactly the pool of its row. */
+/** Contents of `vms/<hall>/<id>`. A VM belongs to exactly the pool in its row. */
 export const vmRowSchema = z.object({
   id: z.string(),
   hall: z.string(),
   rack: z.string(),
   pool: z.string(),
-  /** Grows with every change of pool or state. */
+  /** Increases with every change of pool or state. */
   generation: z.number().int().min(1),
   incarnation: z.string(),
   /**
-   * `active` takes work; `evacuating` still does while its jobs are replaced elsewhere;
-   * `leaving` finishes what it has; `away` is restarting; `gone` is off the list.
+   * `active` accepts work; `evacuating` still does while its jobs are replaced on other VMs;
+   * `leaving` finishes its current work; `away` is restarting; `gone` is no longer listed.
    */
   state: z.enum(['active', 'evacuating', 'leaving', 'away', 'gone']),
   cpus: z.number(),
@@ -37,14 +37,14 @@
 })
 export type VmRow = z.infer<typeof vmRowSchema>
 
-/** Whether targets on the VM may get new work. */
+/** Whether targets on the VM may be given new work. */
 export function servesWork(vm: VmRow | undefined): boolean {
   return vm?.state === 'active' || vm?.state === 'evacuating'
 }
 
-/** Contents of `jobs/<hall>/<id>`: one attempt to run a service's instance on a VM. */
+/** Contents of `jobs/<hall>/<id>`: one attempt to run an instance of a service on a VM. */
 export const jobRowSchema = z.object({
-  /** Also the task id at the platform; never used twice. */
+  /** Also the task id at the platform; never reused. */
   id: z.string(),
   service: z.string(),
   hall: z.string(),
@@ -52,7 +52,7 @@
   /** Incarnation of the VM that the task was started on. */
   incarnation: z.string(),
   state: z.enum(['starting', 'running', 'stopping']),
-  /** `IP:PORT` once it runs. */
+  /** `IP:PORT`, set once the job runs. */
   address: z.string().optional(),
   slots: z.number().int().min(1),
 })
@@ -60,12 +60,12 @@
 
 /** Contents of `leases/<hall>`. */
 export const leaseRowSchema = z.object({
-  /** Node id and incarnation; empty when given up. */
+  /** Node id and incarnation; empty after the lease was released. */
   holder: z.string(),
-  /** Grows with every change of holder; a condition of every write of the holder. */
+  /** Fencing token: increases with every change of holder; a condition of all its writes. */
   fence: z.number().int().min(1),
   ttlMs: z.number().int().min(1),
-  /** Time of day of the last renewal, for people only. */
+  /** Wall-clock time of the last renewal, for operators only. */
   renewedAt: z.string(),
 })
 export type LeaseRow = z.infer<typeof leaseRowSchema>
@@ -74,16 +74,16 @@
 export const waveRowSchema = z.object({
   wave: z.string(),
   hall: z.string(),
-  /** VMs maintained, by id. */
+  /** Ids of the VMs that have been maintained. */
   done: z.array(z.string()),
   doing: z.array(z.string()),
-  /** Why the wave stands still; empty while it does not. */
+  /** Reason why the wave is halted; empty while it is not. */
   halted: z.string(),
   finished: z.boolean(),
 })
 export type WaveRow = z.infer<typeof waveRowSchema>
 
-/** One instance that is away by our doing. */
+/** Instances that an operation has made unavailable. */
 const disruptionSchema = z.object({
   hall: z.string(),
   vm: z.string(),
@@ -95,10 +95,10 @@
 export const budgetRowSchema = z.object({ out: z.array(disruptionSchema) })
 export type BudgetRow = z.infer<typeof budgetRowSchema>
 
-/** Contents of `halls/<hall>`: what operators see of a hall. */
+/** Contents of `halls/<hall>`: status of a hall for operators. */
 export const hallRowSchema = z.object({
   hall: z.string(),
-  /** Lowest epoch in force at the entries that answer. */
+  /** Lowest epoch in force at any entry that answers. */
   epoch: z.number().int().min(0),
   entries: z.array(z.object({ id: z.string(), epoch: z.number(), reached: z.boolean() })),
 })
@@ -113,7 +113,7 @@
 export const leaseKey = (hall: string): string => `leases/${hall}`
 export const waveKey = (wave: string, hall: string): string => `waves/${wave}/${hall}`
 export const budgetKey = (service: string): string => `budgets/${service}`
-/** Contents of `lives/<entry>`: the entry ran before. */
+/** Key of the row that exists once an entry has run, `lives/<entry>`. */
 export const lifeKey = (entry: string): string => `lives/${entry}`
 export const HALL_PREFIX = 'halls/'
 export const hallKey = (hall: string): string => `${HALL_PREFIX}${hall}`
--- a/src/vms/constants.ts
+++ b/src/vms/constants.ts
@@ -1,58 +1,60 @@
-/** Times and weights of VM decisions. Times are in ms, on the steady clock. */
+/** Timing and weights of decisions about VMs. Times are in ms, on the monotonic clock. */
 
-/** Time between two rounds of decisions while no report comes. */
+/** Interval between two rounds of decisions while no report arrives. */
 export const ROUND_INTERVAL_MS = 100
 /**
- * Shortest time between two rounds: a sixth of the time between two reports of a service,
- * so that reports of several services that come together make one round.
+ * Shortest interval between two rounds: a sixth of the interval between two reports of a service, so
+ * that reports of several services that arrive together are handled in one round.
  */
 export const MIN_ROUND_INTERVAL_MS = 25
-/** Time between two reports of a service's owner. */
+/** Interval between two reports of a service's owner. */
 export const REPORT_MS = 150
-/** Reports older than this are not acted on: four of them were lost. */
+/** Reports older than this are ignored: at least four later ones were lost. */
 export const REPORT_STALE_MS = 1500
-/** Time between two readings of the list of VMs while nothing changes. */
+/** Interval between two reads of the list of VMs while nothing changes. */
 export const LIST_INTERVAL_MS = 1000
-/** The same while a VM is away through an order of ours. */
+/** The same while a VM is not up or an order to it is pending. */
 export const LIST_BUSY_INTERVAL_MS = 300
 /**
- * A service keeps the VMs that it needed at its peak within this time. A move there and
- * back costs as much as 2.2 s of a VM, and 1.5 s during which it cannot work.
+ * A service keeps the VMs that it needed at its peak within this time. Moving a VM away and back
+ * costs as much as 2.2 s of a VM, plus 1.5 s during which it cannot work.
  */
 export const PEAK_HOLD_MS = 2500
 /**
- * A target counts as empty by a report of this age at most, in ms: a few reports. A new
- * owner of its service that cannot reach us starts nothing for longer than that.
+ * Oldest report by which a target counts as empty, in ms: a few report intervals. A new owner of
+ * the service that cannot reach the owner of the fleet starts nothing for longer than that.
  */
 export const EMPTY_REPORT_MAX_AGE_MS = 600
 /**
- * Share of the orders that the cloud takes in a second which goes to moves; the rest is for
- * maintenance and for orders of a predecessor. On a cloud that takes 215, a bound of 56
- * brought the VMs of a turn 47 to 56 a second, where it needs 80 and more at once.
+ * Share of the orders per second accepted by the cloud that is used for moves; the rest is left for
+ * maintenance and for orders of a previous owner. A queue can need 80 VMs and more at once when its
+ * turn begins: on a cloud that accepts 215 orders per second, a fixed limit of 56 delivers only 47
+ * to 56 VMs per second.
  */
 export const MOVES_SHARE = 0.875
 /**
- * Late work of one service may wait so many times longer than that of another before VMs move
- * between them: a move takes 1.5 s of a VM, and work to which it comes should gain more than that.
- * A pool of two VMs with 166 late jobs stayed one of two beside one of 52 with 196.
+ * How many times longer the late work of one service may wait than that of another before VMs move
+ * between their pools: a move costs 1.5 s of a VM, and the work that receives it should gain more
+ * than that. Without such moves, a pool of two VMs with 166 late jobs keeps two VMs next to a pool
+ * of 52 with 196 late jobs.
  */
 export const MAX_PRESSURE_RATIO = 2
-/** Share of a pool that is planned to be in use; the rest takes bursts. */
+/** Planned utilization of a pool, as a share; the rest absorbs bursts. */
 export const PLANNED_UTILIZATION = 0.85
-/** Part of a wave's time after which running tasks do not hold up maintenance any more. */
+/** Share of a wave's duration after which running tasks no longer delay maintenance. */
 export const WAVE_HURRY_AFTER = 0.6
 /**
- * Part of a wave's time in which it takes no VM that its service needs. Held back for 0.6
- * of the time, a tenth of two waves of 16 VMs in 27 s came too late.
+ * Share of a wave's duration during which it takes no VM that its service needs. With a share of
+ * 0.6, a tenth of the VMs in two waves of 16 VMs in 27 s are maintained too late.
  */
 export const WAVE_SPARE_ONLY_UNTIL = 0.3
-/** Part of a wave's time in which it is planned to be over. */
+/** Share of a wave's duration within which it is planned to be complete. */
 export const WAVE_TARGET = 0.75
-/** Time to empty a VM in use and to maintain it, in ms: measured 3 to 6 s on calm days. */
+/** Time to empty and maintain a VM in use, in ms: 3 to 6 s without faults. */
 export const EMPTY_AND_MAINTAIN_MS = 6000
-/** Time after an order within which the list must show it, in ms. */
+/** Time within which the list must show the effect of an order, in ms. */
 export const ORDER_VISIBLE_WITHIN_MS = 1500
-/** A VM that the cloud would not order about gets no order for so long, in ms. */
+/** Time for which a VM that the cloud reported as busy gets no further order, in ms. */
 export const BUSY_BACKOFF_MS = 1000
-/** Time for which owners are told of a life that has ended, in ms: many reports. */
+/** Time for which owners are told that a life has ended, in ms: many reports. */
 export const REPORT_ENDED_MS = 5000
--- a/src/vms/fleetOwner.ts
+++ b/src/vms/fleetOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Owner of the fleet of VMs: moves VMs between pools as the services' reports ask for,
- * and carries out maintenance waves. It alone gives orders to the cloud.
+ * Owner of the fleet of VMs: moves VMs between pools according to the reports of the services, and
+ * carries out maintenance waves. No other component sends orders to the cloud.
  */
 import type { ConfigurationHolder } from '../directory/index.js'
 import { ORDER_IN_FLIGHT_MS } from '../ports/index.js'
@@ -34,30 +34,30 @@
 import { advanceWaves } from './waveSteps.js'
 import type { FleetView, VmSupply } from './waveSteps.js'
 
-/** The owner of the fleet, while it runs. */
+/** The running owner of the fleet. */
 export interface FleetOwner extends Owner {
   /**
-   * Takes a service's report; the answer says which targets to empty, and thereby opens
-   * all others. Undefined for a report that is not the newest.
+   * Accepts a service's report. The answer names the targets to empty; all others are open for new
+   * tasks. Returns undefined for a report that is not the newest.
    */
   report(report: ServiceReport): FleetAnswer | undefined
 }
 
-/** What the owner of the fleet works with. */
+/** Options of `createFleetOwner`. */
 export interface FleetOwnerOptions {
   store: RowStore
   cloud: VmCloud
   configuration: ConfigurationHolder
   documents: Documents
   authority: Authority
-  /** Names this node to the cloud. */
+  /** Name of this node in orders to the cloud. */
   holder: string
-  /** Orders that the cloud takes in a second, from all nodes together. */
+  /** Orders per second that the cloud accepts, from all nodes together. */
   ordersPerSecond: number
   log: Logger
 }
 
-/** Starts the owner; it gives orders as long as its authority allows. */
+/** Starts the owner; it sends orders only while its authority is confirmed. */
 export function createFleetOwner(opts: FleetOwnerOptions): FleetOwner {
   const { cloud, authority, configuration, log } = opts
   const stopping = createStopController()
@@ -68,21 +68,21 @@
   const rateLimiter = createOrderRateLimiter(
     Math.floor(opts.ordersPerSecond * MOVES_SHARE),
   )
-  /** VM and pool that the cloud has refused to bring together. */
+  /** Pairs of VM and pool for which the cloud has refused a move. */
   const incompatible = new Set<string>()
-  /** VMs that the cloud called busy, with the steady time up to which they are left. */
+  /** VMs that the cloud reported as busy, with the monotonic time until which they get no order. */
   const busyUntil = new Map<string, number>()
   /** VMs being emptied for a wave. */
   const emptying = new Set<string>()
-  /** VMs whose tasks do not hold up their wave any more. */
+  /** VMs whose running tasks no longer delay their wave. */
   const hurried = new Set<string>()
-  /** VMs that will move once they are empty and their service starts nothing new there. */
+  /** VMs that move once they are empty and their service starts no new tasks there. */
   let reserved = new Set<string>()
   let vms = new Map<string, Vm>()
   let listedAt = -Infinity
-  /** Steady time of the first decision, in ms. */
+  /** Monotonic time of the first decision, in ms. */
   let firstDecisionAt = Infinity
-  /** Whether a report has come since the last round. */
+  /** Whether a report has arrived since the last round started. */
   let hasNewReport = false
   let cancelWait = (): void => undefined
 
@@ -106,7 +106,7 @@
     return { usable: usable.length, needed }
   }
 
-  /** The VMs, with the loads that the services have reported. */
+  /** Returns the VMs with the loads that the services have reported. */
   const getView = (): FleetView => {
     const loads = reports.loads()
     const recent = reports.loads(EMPTY_REPORT_MAX_AGE_MS)
@@ -138,7 +138,7 @@
   async function moveOne({ vm, pool }: PlannedMove): Promise<void> {
     const answer = await orders.move(vm, pool)
     if (answer === 'unknownVm') incompatible.add(`${vm.name} ${pool}`)
-    // Asked again in each round, one such VM used up 45 orders in 2 s.
+    // Without a pause, one busy VM uses up 45 orders in 2 s.
     if (answer === 'busy') busyUntil.set(vm.name, monotonicMs() + BUSY_BACKOFF_MS)
   }
 
@@ -149,10 +149,10 @@
     return [...busyUntil.keys()]
   }
 
-  /** VMs that a service keeps: those of its last peak, and all until peaks can be known. */
+  /** VMs that a service keeps: as many as at its last peak, or all until peaks are known. */
   function vmsToKeep(service: string, needed: number): number {
     const peak = peaks.note(service, needed, monotonicMs())
-    // A new owner that parked at once had nine VMs away for 3 s that the next queue needed.
+    // Parked at once by a new owner, nine VMs that the next queue needs are away for 3 s.
     return monotonicMs() - firstDecisionAt < PEAK_HOLD_MS ? Infinity : peak
   }
 
@@ -174,7 +174,7 @@
     await Promise.all(possible.slice(0, allowed).map(moveOne))
   }
 
-  /** Resolves once a report has come since the last round, or after the usual time. */
+  /** Resolves once a report has arrived since the last round, or after the usual interval. */
   async function waitForNextRound(): Promise<void> {
     if (hasNewReport) return
     const waiting = createStopController()
@@ -184,7 +184,7 @@
   }
 
   async function run(): Promise<void> {
-    // The former owner's last order may still be under way, and must not come after ours.
+    // The previous owner's last order may still be in flight and must not arrive after ours.
     const ordersOverAt = authority.predecessorLeaseOverAt + ORDER_IN_FLIGHT_MS
     await sleep(Math.max(0, ordersOverAt - monotonicMs()), stopping.signal)
     firstDecisionAt = monotonicMs()
@@ -206,8 +206,9 @@
     [...names].flatMap((name) => vms.get(name)?.targetId || [])
 
   /**
-   * VMs that are kept closed for an order. Those of a plan are opened while no order can be
-   * given: a service whose only target was one of them ran nothing for 6.2 s of an outage.
+   * VMs that are kept closed for an order. VMs that are only planned to move are open while no order
+   * can be sent: otherwise a service whose only target is one of them runs nothing during an outage,
+   * for 6.2 s in one case.
    */
   function closedVms(): Iterable<string> {
     const ordered = orders.pending.keys()
@@ -235,8 +236,8 @@
 }
 
 /**
- * The report as it is once its owner has the answer, which opens what it does not name:
- * the owner may start tasks there at once.
+ * Returns the report as it holds once its owner has received the answer. The answer opens every
+ * target that it does not name, and the owner may start tasks there at once.
  */
 function applyAnswer(report: ServiceReport, closed: string[]): ServiceReport {
   const targets = report.targets.map((load) => ({
--- a/src/vms/latestReports.ts
+++ b/src/vms/latestReports.ts
@@ -1,37 +1,37 @@
-/** The newest report of each service, as long as it is fresh. */
+/** Latest report of each service, as long as it is fresh. */
 import { monotonicMs } from '../shared/index.js'
 import { REPORT_STALE_MS } from './constants.js'
 import type { ServiceReport, TargetLoad } from './types.js'
 
-/** Reports by service. */
+/** Latest reports by service. */
 export interface LatestReports {
   /**
-   * False for a report that is not the newest of its service: an owner that has been
-   * deposed may go on for a while, and a slow call may come after newer ones.
+   * Stores a report; returns false for one that is not the newest of its service. An owner that was
+   * replaced may continue for a while, and a slow call may arrive after later ones.
    */
   accept(report: ServiceReport): boolean
   /**
-   * Reports that are recent enough to act on, by service.
-   * @param maxAgeMs oldest report that counts
+   * Returns the reports that are recent enough to act on, by service.
+   * @param maxAgeMs highest age of a report, in ms
    * @default REPORT_STALE_MS
    */
   fresh(maxAgeMs?: number): Map<string, ServiceReport>
   /**
-   * Targets of the fresh reports, by id.
-   * @param maxAgeMs oldest report that counts
+   * Returns the targets of the fresh reports, by id.
+   * @param maxAgeMs highest age of a report, in ms
    * @default REPORT_STALE_MS
    */
   loads(maxAgeMs?: number): Map<string, TargetLoad>
 }
 
-/** Whether a report comes after a known one: of a later owner, or later of the same one. */
+/** Whether a report is newer: from a later owner, or a later one of the same owner. */
 const isNewer = (report: ServiceReport, known: ServiceReport): boolean =>
   report.term > known.term ||
   (report.term === known.term && report.sequence > known.sequence)
 
-/** Creates an empty book. */
+/** Creates an empty set of reports. */
 export function createLatestReports(): LatestReports {
-  /** With the steady time at which it came, in ms. */
+  /** Each report with the monotonic time at which it arrived, in ms. */
   const reports = new Map<string, { report: ServiceReport; at: number }>()
 
   function fresh(maxAgeMs = REPORT_STALE_MS): Map<string, ServiceReport> {
--- a/src/vms/orderRateLimiter.ts
+++ b/src/vms/orderRateLimiter.ts
@@ -1,15 +1,15 @@
-/** How many orders to the cloud may still be given now. */
+/** Limits the rate of orders to the cloud. */
 
-/** Time over which the cloud counts orders, in ms. */
+/** Sliding window over which the cloud counts orders, in ms. */
 const WINDOW_MS = 1000
 
-/** A bound on the orders within any second. */
+/** Limit on the number of orders within any second. */
 export interface OrderRateLimiter {
-  /** Takes as much of `wanted` as is left, and returns how much that is. */
+  /** Returns how many of the `wanted` orders may be sent at `now`, and counts them as sent. */
   take(wanted: number, now: number): number
 }
 
-/** Creates a budget of which nothing has been used. */
+/** Creates a rate limiter that has counted no orders yet. */
 export function createOrderRateLimiter(perSecond: number): OrderRateLimiter {
   let sentTimes: number[] = []
   return {
--- a/src/vms/peakHold.ts
+++ b/src/vms/peakHold.ts
@@ -1,23 +1,23 @@
-/** Remembers the highest of the values of the last while, by name. */
+/** Maximum of recent values, by name. */
 
-/** Peaks of the last while, by name. */
+/** Peaks within a sliding window, by name. */
 export interface PeakHold {
-  /** Notes a value and returns the peak. */
+  /** Records a value and returns the peak. */
   note(name: string, value: number, now: number): number
 }
 
-/** A value with its time. */
+/** A value with the time at which it was recorded, in ms. */
 interface Sample {
   at: number
   value: number
 }
 
-/** Creates a memory that holds each value for `holdMs`. */
+/** Creates a peak hold whose window is `holdMs` long. */
 export function createPeakHold(holdMs: number): PeakHold {
   const samples = new Map<string, Sample[]>()
   return {
     note(name, value, now) {
-      // Only falling values are kept: a higher one hides all lower ones before it.
+      // Lower values before this one can no longer become the peak.
       const kept = (samples.get(name) ?? []).filter(
         (each) => now - each.at < holdMs && each.value > value,
       )
--- a/src/vms/poolPlanner.ts
+++ b/src/vms/poolPlanner.ts
@@ -1,34 +1,34 @@
-/** Decides how many VMs each pool should have, and which VMs move. Pure. */
+/** Decides how many VMs each pool should have and which VMs move. Pure functions only. */
 import type { Vm } from '../ports/index.js'
 import type { ServiceReport, TargetLoad } from './types.js'
 import { PLANNED_UTILIZATION, MAX_PRESSURE_RATIO } from './constants.js'
 
-/** A VM that should change pool. */
+/** A VM that should move to another pool. */
 export interface PlannedMove {
   vm: Vm
   pool: string
 }
 
-/** What a plan rests on. */
+/** Input of a plan. */
 export interface PoolInput {
   vms: readonly Vm[]
-  /** Fresh reports by service; a service without one is left as it is. */
+  /** Fresh reports by service; the pool of a service without one is left unchanged. */
   reports: ReadonlyMap<string, ServiceReport>
   /** Pool of idle VMs that are switched off. */
   sparePool: string | undefined
-  /** Pool that a VM is on its way to. */
+  /** Pools that VMs are being moved to, by VM. */
   movingTo: ReadonlyMap<string, string>
   /** VMs that are being emptied for maintenance. */
   emptying: ReadonlySet<string>
-  /** VMs with an order that the list does not show yet. */
+  /** VMs with an order whose effect the list does not show yet. */
   ordered: ReadonlySet<string>
-  /** Whether the VM can be in the pool at all. */
+  /** Whether the VM can be in the pool. */
   fitsPool(vm: Vm, pool: string): boolean
-  /** VMs that a service should keep rather than park, given what it needs now. */
+  /** Number of VMs that a service should keep instead of parking, given what it needs now. */
   vmsToKeep(service: string, needed: number): number
 }
 
-/** VMs that a service needs for so much processor room. */
+/** Number of VMs that a service needs for `cpu` thousandths of a core. */
 export function neededVms(report: ServiceReport, cpu: number, cpuPerVm: number): number {
   if (cpuPerVm <= 0) return report.minTargets
   const byLoad = Math.ceil(cpu / (cpuPerVm * PLANNED_UTILIZATION))
@@ -37,22 +37,22 @@
 
 const isIdle = (load: TargetLoad | undefined): boolean => load?.runs === 0
 
-/** Typical processor room of a VM in the list. */
+/** Average capacity of the VMs in the list that have any, in thousandths of a core. */
 export function cpuPerVmOf(vms: readonly Vm[]): number {
   const sizes = vms.map(({ capacity }) => capacity.cpu).filter((cpu) => cpu > 0)
   return sizes.length === 0 ? 0 : sizes.reduce((sum, cpu) => sum + cpu, 0) / sizes.length
 }
 
-/** Missing VMs by pool; negative for a surplus. */
+/** Number of missing VMs by pool; negative for a surplus. */
 type Gaps = Map<string, number>
 
-/** What the VMs of the services are compared with. */
+/** Gaps relative to each of the demands that are planned for. */
 interface AllGaps {
-  /** Need of jobs that can still meet their objective. */
+  /** Demand of jobs that can still meet their objective. */
   timely: Gaps
-  /** Need of all jobs. */
+  /** Demand of all jobs. */
   now: Gaps
-  /** What is kept for a peak. */
+  /** Number of VMs that are kept for peaks. */
   kept: Gaps
 }
 
@@ -73,8 +73,8 @@
   const cpuPerVm = cpuPerVmOf(vms)
   const gaps: AllGaps = { timely: new Map(), now: new Map(), kept: new Map() }
   for (const [service, report] of input.reports) {
-    // One that is being emptied or maintained cannot take what the service needs, nor can
-    // one that works so badly that its owner keeps tasks off it.
+    // A VM that is being emptied or maintained cannot run the service's tasks, nor can one that
+    // works so badly that the owner of the service places no tasks there.
     const there = vms.filter(
       (vm) =>
         (movingTo.get(vm.name) ?? vm.pool) === service &&
@@ -90,20 +90,20 @@
   return gaps
 }
 
-/** VMs that may move, the best ones first. */
+/** VMs that may move, each list with the best candidates first. */
 interface Movable {
   spare: Vm[]
   idle: Vm[]
-  /** Those with tasks that end by themselves: they are closed now and move once idle. */
+  /** VMs whose tasks all end by themselves: closed now, and moved once idle. */
   withFiniteTasks: Vm[]
-  /** Idle ones that work badly: a move gives them a new life. */
+  /** Idle VMs that work badly; a move restarts them as a new life. */
   suspect: Vm[]
 }
 
 function findMovable(input: PoolInput, loads: Loads): Movable {
   const { vms, reports, sparePool, emptying, ordered } = input
   const loadOf = (vm: Vm): TargetLoad | undefined => loads.get(vm.targetId)
-  // VMs that are being emptied already come first, so that the choice stays the same.
+  // VMs that are already being emptied come first, so that the choice does not change.
   const byProgress = (a: Vm, b: Vm): number =>
     Number(loadOf(b)?.evacuating) - Number(loadOf(a)?.evacuating) ||
     (loadOf(a)?.usedCpu ?? 0) - (loadOf(b)?.usedCpu ?? 0)
@@ -127,14 +127,14 @@
   if (at >= 0) list.splice(at, 1)
 }
 
-/** How many times the VMs of a pool its service needs. */
+/** Ratio of the VMs that a service needs to the VMs of its pool. */
 const pressureOf = (needed: number, gap: number): number =>
   needed / Math.max(1, needed - gap)
 
 /**
- * Plans moves. Work that can still be in time is served first, if need be by VMs whose
- * service has only late work for them; then all work, from spare and idle VMs. Where no pool
- * has enough for its late work, they come to share what there is by it.
+ * Plans moves. Work that can still be in time is served first, if necessary by VMs whose service has
+ * only late work for them; then all work, by spare and idle VMs. If no pool has enough VMs for its
+ * late work, the pools share the VMs in proportion to that work.
  */
 export function planPools(input: PoolInput): PlannedMove[] {
   const { sparePool, fitsPool } = input
@@ -162,7 +162,7 @@
     adjustGaps(pool, -1)
     if (!loads.get(vm.targetId)?.suspect) adjustGaps(vm.pool, 1)
   }
-  /** Whether no other VM of its pool stays: better a bad one than none until another comes. */
+  /** Whether no other VM of its pool stays: until another arrives, a bad VM is better than none. */
   const isLast = (vm: Vm): boolean =>
     !input.vms.some(
       (other) =>
@@ -174,7 +174,7 @@
         !moves.some((each) => each.vm === other),
     )
 
-  /** Fills the gaps from the lists, in their order, without opening others. */
+  /** Fills the gaps from the lists in their order, without creating new gaps. */
   const fillGaps = (wanted: Gaps, donors: Vm[][]): void => {
     const findFor = (service: string): Vm | undefined => {
       for (const list of donors) {
@@ -200,7 +200,7 @@
     }
   }
 
-  /** The pool whose service needs the most times its VMs; undefined when none needs more. */
+  /** The pool with the highest pressure; undefined when no service needs more VMs. */
   function highestPressurePool(): string | undefined {
     const wanting = [...gaps.now].filter(([, gap]) => gap > 0)
     const [first] = wanting.sort((a, b) => pressure(b[0]) - pressure(a[0]))
@@ -211,8 +211,8 @@
     pressureOf(needed.get(service) ?? 0, gaps.now.get(service) ?? 0)
 
   /**
-   * Whether the pool can spare one VM for another whose service waits far longer. One that has
-   * enough gives those that are idle, and the others once they are.
+   * Whether the pool can give a VM to another pool whose service waits far longer. A pool that has
+   * more VMs than it needs is excluded: it gives its idle VMs anyway, and the others once idle.
    */
   const mayDonate = (pool: string, to: string): boolean =>
     pool !== to &&
@@ -242,7 +242,7 @@
   fillGaps(gaps.now, [movable.spare, movable.idle, movable.suspect])
   balanceLateWork()
   if (sparePool === undefined) return moves
-  // A VM that works badly leaves even where it is missed, and comes back as a new life.
+  // A VM that works badly leaves even a pool that lacks VMs, and returns as a new life.
   for (const vm of [...movable.suspect]) {
     if (!isLast(vm) && fitsPool(vm, sparePool)) move(vm, sparePool)
   }
--- a/src/vms/types.ts
+++ b/src/vms/types.ts
@@ -1,18 +1,18 @@
-/** What the owner of a service tells the owner of the fleet, and the answer. */
+/** Reports from owners of services to the owner of the fleet, and the answer to them. */
 import { z } from 'zod'
 
 /** One target of a service, as its owner sees it. */
 export const targetLoadSchema = z.object({
   id: z.string(),
-  /** Runs that are present or may be. */
+  /** Number of runs that are or may be present. */
   runs: z.number(),
-  /** Runs of lasting steps among them. */
+  /** Number of them that belong to lasting steps. */
   lasting: z.number(),
-  /** Whether its owner starts nothing new there, as we asked. */
+  /** Whether the owner starts no new tasks there, as the owner of the fleet requested. */
   evacuating: z.boolean(),
-  /** Thousandths of a core in use. */
+  /** Processor capacity in use, in thousandths of a core. */
   usedCpu: z.number(),
-  /** Whether it works so badly that its owner keeps tasks off it. */
+  /** Whether it works so badly that the owner places no tasks there. */
   suspect: z.boolean().default(false),
 })
 /** One target of a service, as its owner sees it. */
@@ -21,15 +21,15 @@
 /** State of a service, as its owner reports it. */
 export const serviceReportSchema = z.object({
   service: z.string(),
-  /** Term of its owner: reports of a later owner count more. */
+  /** Term of the owner: reports of a later owner replace those of earlier ones. */
   term: z.number(),
-  /** Rises with each report of one owner: a call that was slow may come after newer ones. */
+  /** Increases with each report of one owner: a slow call may arrive after later ones. */
   sequence: z.number(),
-  /** Thousandths of a core that its tasks need, now and soon. */
+  /** Processor capacity that its tasks need now and soon, in thousandths of a core. */
   neededCpu: z.number(),
-  /** The part of it that is for jobs which can still meet their objective. */
+  /** The part of `neededCpu` for jobs that can still meet their objective. */
   timelyCpu: z.number(),
-  /** Least number of targets on which its lasting steps fit. */
+  /** Smallest number of targets on which its lasting steps fit. */
   minTargets: z.number(),
   targets: z.array(targetLoadSchema),
 })
@@ -38,15 +38,15 @@
 
 /** Answer of the fleet's owner to a report. */
 export const fleetAnswerSchema = z.object({
-  /** Targets that get no new tasks, because their VM is wanted elsewhere. */
+  /** Targets that get no new tasks because their VM is to be moved or maintained. */
   evacuate: z.array(z.string()),
-  /** Targets among them whose long tasks should be stopped now. */
+  /** Targets among these whose long tasks should be stopped now. */
   hurry: z.array(z.string()),
-  /** Lives that an accepted order of ours has ended. */
+  /** Lives that an order of the owner of the fleet has ended. */
   ended: z.array(z.string()),
 })
 /** Answer of the fleet's owner to a report. */
 export type FleetAnswer = z.infer<typeof fleetAnswerSchema>
 
-/** The answer that empties nothing and opens everything. */
+/** Answer that empties no target and opens all of them. */
 export const NOTHING_TO_EMPTY: FleetAnswer = { evacuate: [], hurry: [], ended: [] }
--- a/src/vms/vmOrders.ts
+++ b/src/vms/vmOrders.ts
@@ -1,50 +1,50 @@
-/** Orders to the cloud, and which of them the list of VMs does not show yet. */
+/** Sends orders to the cloud and tracks those that the list of VMs does not show yet. */
 import type { Authority } from '../ownership/index.js'
 import type { Vm, VmCloud, VmOrderAnswer } from '../ports/index.js'
 import { describeError, monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { ORDER_VISIBLE_WITHIN_MS, REPORT_ENDED_MS } from './constants.js'
 
-/** An order that the list does not show yet. */
+/** An order whose effect the list does not show yet. */
 export interface PendingOrder {
   kind: 'move' | 'maintain'
-  /** Pool of the VM once it is carried out. */
+  /** Pool of the VM once the order is carried out. */
   pool: string
   /** Life that the order ends. */
   targetId: string
-  /** Steady time of the order, in ms. */
+  /** Monotonic time of the order, in ms. */
   at: number
-  /** Steady time up to which the list may still not show it, in ms. */
+  /** Monotonic time until which the list may not show it yet, in ms. */
   until: number
 }
 
-/** Gives orders as long as this node is the one to give them. */
+/** Sends orders while the authority of this node is confirmed. */
 export interface VmOrders {
-  /** Orders by VM. */
+  /** Pending orders by VM. */
   readonly pending: ReadonlyMap<string, PendingOrder>
-  /** Undefined when the order was not given or not answered. */
+  /** Moves a VM to a pool; undefined when the order was not sent or not answered. */
   move(vm: Vm, pool: string): Promise<VmOrderAnswer | undefined>
-  /** Undefined when the order was not given or not answered. */
+  /** Maintains a VM for a wave; undefined when the order was not sent or not answered. */
   maintain(vm: Vm, wave: number): Promise<VmOrderAnswer | undefined>
-  /** Forgets the orders that a list asked for at `sentAt` shows, or that it never will. */
+  /** Removes pending orders that a list requested at `sentAt` shows, or that have expired. */
   applyList(vms: ReadonlyMap<string, Vm>, sentAt: number): void
-  /** Pools that VMs are on their way to. */
+  /** Pools that VMs are being moved to, by VM. */
   movingTo(): Map<string, string>
-  /** Lives that orders have ended lately, as the list shows. */
+  /** Lives that orders have recently ended, according to the list. */
   endedLives(): string[]
 }
 
-/** Creates the book of orders of one owner of the fleet. */
+/** Creates the orders of one owner of the fleet. */
 export function createVmOrders(opts: {
   cloud: VmCloud
   authority: Authority
-  /** Names this node to the cloud. */
+  /** Name of this node in orders to the cloud. */
   holder: string
   log: Logger
 }): VmOrders {
   const { cloud, authority, log } = opts
   const pending = new Map<string, PendingOrder>()
-  /** Lives that our orders have ended, with the time of the order. */
+  /** Lives that orders have ended, with the monotonic time at which that was seen, in ms. */
   const ended = new Map<string, number>()
   const sender = { holder: opts.holder, token: authority.term }
 
@@ -62,14 +62,14 @@
     const reason = res.isErr() ? describeError(res.error) : ''
     log.event('vmOrdered', { vm: vm.name, from: vm.pool, ...order, answer, reason })
     if (answer === 'fenced') authority.lost('the cloud has seen a newer owner')
-    // An unanswered order stays pending: it may have been carried out.
+    // An order without an answer stays pending: it may have been carried out.
     if (answer !== undefined && answer !== 'accepted') pending.delete(vm.name)
     return answer
   }
 
   /**
-   * Compares an order with a later reading of the list. Only that shows that a life is
-   * over: an order that was done already is accepted as well, and ends nothing.
+   * Compares an order with a later read of the list. Only the list shows that a life has ended: an
+   * order that was already carried out is accepted again and ends nothing.
    */
   function applyListTo(
     name: string,
@@ -92,7 +92,7 @@
       ),
     applyList(vms, sentAt) {
       for (const [name, order] of pending) {
-        // A reading from before the order says nothing about it.
+        // A list that was requested before the order does not show its effect.
         if (sentAt >= order.at) applyListTo(name, order, vms.get(name), sentAt)
       }
     },
--- a/src/vms/waveSteps.ts
+++ b/src/vms/waveSteps.ts
@@ -1,4 +1,4 @@
-/** Steps of maintenance waves: which VMs are emptied, and which are maintained now. */
+/** Advances maintenance waves: which VMs are emptied and which are maintained now. */
 import type { Vm, Wave } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import {
@@ -10,37 +10,37 @@
 import type { VmOrders } from './vmOrders.js'
 import type { WaveTracker, WaveProgress } from './waves.js'
 
-/** VMs of one service. */
+/** VM counts of one service. */
 export interface VmSupply {
-  /** Those that are up and not being emptied. */
+  /** VMs that are up, not being emptied and without a pending order. */
   usable: number
-  /** Those that it needs for what can still be in time; at least one. */
+  /** VMs that it needs for work that can still be in time; at least one. */
   needed: number
 }
 
-/** What is known of the VMs at the start of a step. */
+/** State of the VMs at the start of a step. */
 export interface FleetView {
   vms: ReadonlyMap<string, Vm>
-  /** Runs that are present on the VM or may be. */
+  /** Number of runs that are or may be present on the VM. */
   runsOn(vm: Vm): number
-  /** Whether nothing runs on the VM and its service starts nothing there any more. */
+  /** Whether nothing runs on the VM and its service starts no new tasks there. */
   isEmpty(vm: Vm): boolean
-  /** VMs that the service of the VM may use and that it needs; undefined where unknown. */
+  /** VM counts of the service that the VM belongs to; undefined when they are unknown. */
   supplyOf(vm: Vm): VmSupply | undefined
 }
 
-/** What the steps work with; the two sets are shared with the owner of the fleet. */
+/** Options of `advanceWaves`; the two sets are shared with the owner of the fleet. */
 export interface WaveStepOptions {
   waves: WaveTracker
   orders: VmOrders
   /** VMs being emptied. */
   emptying: Set<string>
-  /** VMs whose tasks do not hold up their wave any more. */
+  /** VMs whose running tasks no longer delay their wave. */
   hurried: Set<string>
   getView(): FleetView
 }
 
-/** Carries out one step of every wave, and writes what has changed. */
+/** Carries out one step of every wave and writes the changes. */
 export async function advanceWaves(
   opts: WaveStepOptions,
   requested: Wave[],
@@ -85,9 +85,9 @@
 }
 
 /**
- * Whether the VM may be emptied now: at first only one that its service can do without.
- * On a day with little room a service whose both VMs were due started nothing for 2 s.
- * @param used part of the wave's time that has passed
+ * Whether the VM may be emptied now: at first only if its service does not need it. Otherwise, with
+ * little spare capacity, a service whose only two VMs are both due starts nothing for 2 s.
+ * @param used share of the wave's duration that has passed
  */
 function canSpare(vm: Vm, view: FleetView, used: number): boolean {
   const supply = view.supplyOf(vm)
@@ -105,7 +105,7 @@
   if (answer === 'accepted') opts.emptying.delete(vm.name)
 }
 
-/** VMs of a wave that are away, or may be by an order of ours. */
+/** Number of VMs of a wave that are in maintenance, or may be because of a pending order. */
 function countDown(wave: Wave, { vms }: FleetView, orders: VmOrders): number {
   return wave.vms.filter((name) => {
     const away = vms.get(name)?.state === 'maintenance'
@@ -113,7 +113,7 @@
   }).length
 }
 
-/** VMs in use to empty at the same time, so that the wave is over in time. */
+/** Number of VMs in use to empty at the same time so that the wave is complete in time. */
 function busyAtOnce(progress: WaveProgress, pending: number): number {
   const passed = monotonicMs() - progress.seenAt
   const leftMs = progress.wave.durationMs * WAVE_TARGET - passed
--- a/src/vms/waves.ts
+++ b/src/vms/waves.ts
@@ -1,6 +1,6 @@
 /**
- * Progress of maintenance waves. Which VMs have begun is a row, so that a successor
- * neither forgets nor repeats any of them.
+ * Progress of maintenance waves. The VMs that have begun are stored in a row, so that a new owner
+ * of the fleet neither skips nor repeats any of them.
  */
 import { z } from 'zod'
 import { keyRange } from '../ports/index.js'
@@ -14,43 +14,43 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 
-/** Progress of waves; the part is the fleet's. */
+/** Table with the progress of waves; the part is that of the fleet. */
 export const WAVES_TABLE = 'waves'
 
 const waveRowSchema = z.object({ begun: z.array(z.string()) })
 
-/** Reads the row of a wave; undefined when it has the wrong shape. */
+/** Parses the row of a wave; returns undefined when it has the wrong shape. */
 export function decodeWaveRow(value: string): z.infer<typeof waveRowSchema> | undefined {
   return waveRowSchema.safeParse(parseJson(value)).data
 }
 
-/** One wave as this owner carries it out. */
+/** A wave and its progress under this owner. */
 export interface WaveProgress {
   wave: Wave
   /** VMs whose maintenance was ordered. */
   begun: Set<string>
-  /** Steady time at which this owner first saw it, in ms. */
+  /** Monotonic time at which this owner first read the wave, in ms. */
   seenAt: number
   status: 'new' | 'running' | 'completed'
-  /** Whether `begun` says more than the row. */
+  /** Whether `begun` contains changes that are not in the row yet. */
   dirty: boolean
 }
 
-/** The waves that this owner has seen. */
+/** The waves that this owner has read. */
 export interface WaveTracker {
   /** Waves that are not completed. */
   active(): WaveProgress[]
-  /** Brings the book up to date with the waves that the operators ask for. */
+  /** Adds new waves from those that the operators request. */
   update(waves: Wave[]): Promise<void>
-  /** VMs of a wave that are there and have not begun. */
+  /** VMs of a wave that exist and have not begun. */
   pending(progress: WaveProgress, vms: ReadonlyMap<string, Vm>): Vm[]
-  /** Notes that a VM's maintenance was ordered. */
+  /** Records that a VM's maintenance was ordered. */
   markBegun(progress: WaveProgress, vm: string): void
-  /** Writes what changed, and the status that the operators read. */
+  /** Writes the changed progress, and the status that the operators read. */
   save(vms: ReadonlyMap<string, Vm>): Promise<void>
 }
 
-/** Creates an empty book; rows are read as waves are asked for. */
+/** Creates an empty tracker; the row of a wave is read when the wave is first requested. */
 export function createWaveTracker(opts: {
   store: RowStore
   authority: Authority
@@ -78,8 +78,9 @@
     }
     const row = rows.value.rows[0]
     const known = row && decodeWaveRow(row.value)
-    // Asked again, the cloud does what it has done already at once: no VM is left out.
-    if (row && !known) unreadableRows.note(row.key, 'its VMs are ordered again')
+    // The cloud accepts an order again that it has already carried out, so no VM is left out.
+    if (row && !known)
+      unreadableRows.note(row.key, 'maintenance of its VMs is ordered again')
     const begun = new Set(known?.begun)
     const seenAt = monotonicMs()
     waves.set(wave.id, { wave, begun, seenAt, status: 'new', dirty: false })
