--- a/src/ownership/__tests__/idleNodes.spec.ts
+++ b/src/ownership/__tests__/idleNodes.spec.ts
@@ -1,10 +1,8 @@
 /**
- * What users saw: a day of a site of 43 nodes was given up as too slow, and what its nodes said
- * to the store was charged 0.05 of all that it earned.
- * Order of events: each node renews its row and reads those of the others every 0.3 s, and
- * reads the list of 247 targets as often as it changes; five nodes own something.
- * Cause: nodes that own nothing kept the pace that only owners and their successors need.
- * Evidence: 68,107 calls of 44 nodes in 82 s, 19 a second and node.
+ * Guards against nodes that own nothing calling the store as often as owners and standbys do. When
+ * each node renews its row and reads the others every 0.3 s, and reads the list of 247 targets at
+ * each change, 44 nodes of which five own something make 68,107 calls in 82 s, 19 per second and
+ * node. A site of 43 nodes is then too slow, and its calls to the store cost 0.05 of its earnings.
  */
 import { createRowTable } from '../../../playground/sim/rowTable.js'
 import { describe, it } from '../../../test/describe.js'
@@ -17,7 +15,7 @@
 const MANY_NODES = 100
 const SERVICES = ['a', 'b', 'c', 'd']
 
-/** Counts the calls of a store. */
+/** Wraps a store and counts the calls to it. */
 function counting(store: RowStore) {
   let calls = 0
   const counted = <A extends unknown[], R>(call: (...args: A) => R) => {
@@ -53,7 +51,7 @@
   nodes.find(({ authorities }) => authorities.get(service)?.isConfirmed())
 
 describe('nodes that own nothing', () => {
-  it('call the store seldom, and an owner is missed all the same', async (t) => {
+  it('call the store rarely, and still take over from a lost owner', async (t) => {
     const { table, nodes } = startSite()
     await sleep(2500)
     const before = new Map(nodes.map((node) => [node.id, node.calls()]))
@@ -63,7 +61,7 @@
       .map((node) => (node.calls() - before.get(node.id)!) / 3)
       .sort((a, b) => a - b)
     const median = perSecond[Math.floor(perSecond.length / 2)]!
-    // 6.7 calls a second before; a renewal and a reading are left.
+    // One renewal and one read a second are left of the 6.7 calls at the rate of owners.
     t.true(median <= 3, `${median} calls a second`)
 
     const owner = ownerOf(nodes, 'a')!
@@ -77,16 +75,16 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  it('count as alive for as long as they are at their own pace', async (t) => {
+  it('count as alive between their less frequent renewals', async (t) => {
     const { nodes } = startSite()
     await sleep(4500)
     for (const { registry } of nodes) t.is(registry.candidates().length, NODES)
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  // Each renewal is read by every node: with one a second and node, what a node read grew
-  // with the nodes, to 71 kB/s among 300.
-  it('renew their rows so seldom that all together do not more often', async (t) => {
+  // Every node reads each renewal. With one renewal per second and node, the data that a node reads
+  // grows with the number of nodes, to 71 kB/s among 300.
+  it('share a limit on their renewals, however many they are', async (t) => {
     const { table, nodes } = startSite(MANY_NODES)
     await sleep(6000)
     const before = new Map(table.rows(NODES_TABLE).map((row) => [row.key, row.version]))
@@ -99,7 +97,7 @@
       }
     }
     const renewed = idle.filter(({ id }) => changed.has(id)).length
-    // Of 96 in two seconds; 50 at the pace of all together, and the 8 that come next.
+    // Of 96 nodes, 50 renew in two seconds at the shared rate, and the 8 standbys in addition.
     t.true(renewed < 75, `${renewed} of ${idle.length} in two seconds`)
     for (const { registry } of nodes) t.is(registry.candidates().length, MANY_NODES)
     await Promise.all(nodes.map((node) => node.stop()))
--- a/src/ownership/__tests__/lateLease.spec.ts
+++ b/src/ownership/__tests__/lateLease.spec.ts
@@ -1,9 +1,9 @@
 /**
- * What callers saw: on nodes with 0.12 of a core a busy owner lost its service to a node as weak,
- * which read all open jobs for seconds, was busy then, and lost it again.
- * Cause: a lease of fixed length, 1.2 s, for owners whose renewals take a second; one that took
- * 1.3 s was never confirmed, and never replaced either.
- * Evidence: `ownershipConfirmed` 3 to 14 times for one owner in 80 s, `ownershipLost` after it.
+ * Guards against an owner losing its service because it is slow. On nodes with 0.12 of a core, a
+ * renewal takes a second. With a fixed lease of 1.2 s, a busy owner loses its service to an equally
+ * slow node, which reads all open jobs for seconds, becomes busy and loses it too; an owner whose
+ * renewals take 1.3 s is never confirmed and never replaced. The log then shows
+ * `ownershipConfirmed` 3 to 14 times in 80 s for one owner, followed by `ownershipLost`.
  */
 import type { ExecutionContext } from 'ava'
 import { createRowTable } from '../../../playground/sim/rowTable.js'
@@ -15,7 +15,7 @@
 import { LATE_LEASE_MAX_MS, NODE_LEASE_MS } from '../constants.js'
 import { createLeaseLength } from '../leaseLength.js'
 
-/** A store whose calls take so long for one node. */
+/** Delays the commits of one node by `state.callMs`. */
 function slowed(store: RowStore, state: { callMs: number }): RowStore {
   return {
     ...store,
@@ -29,7 +29,7 @@
 const isConfirmed = (node: OwnerNode): boolean =>
   node.authorities.get('a')?.isConfirmed() ?? false
 
-/** An owner whose renewals become late bit by bit, as its processor fills, and a node beside it. */
+/** Starts an owner whose renewals slow down gradually, as on a busy processor, and a second node. */
 async function startLateOwner(t: ExecutionContext) {
   const table = createRowTable()
   const state = { callMs: 0 }
@@ -46,7 +46,7 @@
   return { late, next }
 }
 
-describe('lease of an owner that runs late', () => {
+describe('lease of an owner whose renewals are slow', () => {
   it('lasts until its next renewal, so that it keeps its service', async (t) => {
     const { late, next } = await startLateOwner(t)
     const endsAt = monotonicMs() + 4000
@@ -59,7 +59,7 @@
     t.false(next.authorities.has('a'))
   })
 
-  it('ends all the same when it is gone', async (t) => {
+  it('still ends when the owner is gone', async (t) => {
     const { late, next } = await startLateOwner(t)
     await late.registry.stop()
     const goneAt = monotonicMs()
@@ -80,16 +80,16 @@
     return length.ms()
   }
 
-  it('asks for the usual lease while renewals come in time', (t) => {
+  it('returns the usual lease while renewals are on time', (t) => {
     t.is(after([]), NODE_LEASE_MS)
     t.is(after(Array.from({ length: 8 }, () => 350)), NODE_LEASE_MS)
   })
 
-  it('asks for no longer one after a single pause', (t) => {
+  it('does not extend the lease after a single pause', (t) => {
     t.is(after([350, 350, 5000, 350]), NODE_LEASE_MS)
   })
 
-  it('asks for a longer one while renewals are late, up to a bound', (t) => {
+  it('extends the lease while renewals are slow, up to a limit', (t) => {
     t.is(after([1000, 1000, 1000]), 2500)
     t.is(after([4000, 4000, 4000]), LATE_LEASE_MAX_MS)
   })
--- a/src/ownership/__tests__/ownEpoch.spec.ts
+++ b/src/ownership/__tests__/ownEpoch.spec.ts
@@ -1,14 +1,11 @@
 /**
- * What users saw: services lost to another node where no other node had claimed them, and
- * nothing of the service running for seconds.
- * Order of events: an owner is late and its lease runs out; it writes its epoch row once more
- * to see that nobody took over; before the answer has come, its progress is refused, because
- * the epoch row has another version now; it takes that for another owner and drops the service,
- * 0.2 s before the answer that confirms it.
- * Cause: a newer version of the epoch row was taken for another owner's without a look at whose
- * it is.
- * Evidence: RS-7003 `the epoch row has changed`, RS-7002 of the same node and term 0.2 s later,
- * and RS-7001 of the same node with itself as `previous` after 2 s.
+ * Guards against an owner mistaking its own rewritten epoch row for that of another owner. An owner
+ * whose lease has expired rewrites the row to check that no other node took over. Before the answer
+ * arrives, its progress write is rejected because the row has a newer version. Unless it checks whose
+ * version that is, it drops the service 0.2 s before the answer that confirms it, and nothing of the
+ * service runs for seconds although no other node has claimed it.
+ * The log then shows RS-7003 `the epoch row has changed`, RS-7002 of the same node and term 0.2 s
+ * later, and RS-7001 of the same node with itself as `previous` after 2 s.
  */
 import { createRowTable } from '../../../playground/sim/rowTable.js'
 import { describe, it } from '../../../test/describe.js'
@@ -24,7 +21,7 @@
 import { NODE_LEASE_MS } from '../index.js'
 
 const SERVICE = 'a'
-/** Time by which the answer to a written epoch row is late, in ms. */
+/** Delay of the answer to a write of the epoch row, in ms. */
 const LATE_MS = 600
 
 async function until(check: () => boolean, ms: number): Promise<boolean> {
@@ -33,7 +30,7 @@
   return check()
 }
 
-/** An owner whose lease has run out, while the answer that will confirm it is on its way. */
+/** Starts an owner whose lease has expired while the answer that confirms it is delayed. */
 async function startUnconfirmed() {
   const table = createRowTable()
   const direct = table.forNode('n1')
@@ -63,7 +60,7 @@
 const log = createMemoryLogger()
 const ignore = (): void => undefined
 
-/** An owner as above, its progress writer and its roster, until the use of them is over. */
+/** Runs `use` with such an owner, its progress writer and its roster, and stops them after it. */
 async function withOwner(
   use: (parts: {
     authority: Authority
@@ -85,8 +82,8 @@
   }
 }
 
-describe('owner whose own epoch row has a newer version', () => {
-  it('keeps the service when its progress is refused for that', async (t) => {
+describe('owner with a newer version of its own epoch row', () => {
+  it('keeps the service when a write of its progress is rejected for it', async (t) => {
     await withOwner(async ({ authority, writer }) => {
       t.false(authority.isConfirmed())
       const job = createJob(makeJob({}), 0)
@@ -97,7 +94,7 @@
     })
   })
 
-  it('keeps the service when its targets are refused for that', async (t) => {
+  it('keeps the service when a write of its targets is rejected for it', async (t) => {
     await withOwner(async ({ authority, roster }) => {
       roster.add({ id: 'i-1', address: 't1:1' })
       t.true(await until(() => roster.has('i-1'), 400))
@@ -105,7 +102,7 @@
     })
   })
 
-  it('loses it to another owner all the same', async (t) => {
+  it('still loses the service to another owner', async (t) => {
     await withOwner(async ({ authority, writer, table }) => {
       const other = { node: 'n2', life: 'n2-1', term: authority.term + 1 }
       const key = { table: EPOCH_TABLE, part: SERVICE, key: 'epoch' }
--- a/src/ownership/__tests__/ownLease.spec.ts
+++ b/src/ownership/__tests__/ownLease.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A right to a service lasts as long as the others wait for it: by the renewal of the node's row,
- * whatever else the node has written since.
+ * Ownership of a service lasts as long as the other nodes wait for it: until the lease of the owner's
+ * node row ends, whatever else the node has written since the last renewal.
  */
 import { err } from 'neverthrow'
 import { createRowTable } from '../../../playground/sim/rowTable.js'
@@ -10,7 +10,7 @@
 import { PlatformError, monotonicMs, sleep } from '../../shared/index.js'
 import { NODES_TABLE } from '../index.js'
 
-/** A store that leaves the node's renewals unanswered and undone while that is asked for. */
+/** Wraps a store that neither applies nor answers the node's renewals while `state.lost` is set. */
 function withoutRenewals(store: RowStore) {
   const state = { lost: false }
   const wrapped: RowStore = {
@@ -29,12 +29,12 @@
   return { state, store: wrapped }
 }
 
-describe('right to a service', () => {
-  // Found in a play with lost answers of the store: a node took a service over 0.9 s after the
-  // last renewal of its row that was done. The next one took it over from it as soon as that
-  // lease was over; the first one counted its own from the claim, took a new job on as
-  // confirmed, and the job's task ran twice at the same time.
-  it('ends with the renewal that the others see, not with the claim', async (t) => {
+describe('ownership of a service', () => {
+  // With lost answers of the store, a node can claim a service 0.9 s after the last successful renewal
+  // of its row, and the next node takes the service over as soon as that lease ends. If the first
+  // node counted its lease from the claim, it would accept a new job as the confirmed owner, and the
+  // job's task would run twice at the same time.
+  it('ends with the lease of the last renewal, even if claimed after it', async (t) => {
     const table = createRowTable()
     const { state, store } = withoutRenewals(table.forNode('n1'))
     const services = ['x']
--- a/src/ownership/__tests__/ownership.spec.ts
+++ b/src/ownership/__tests__/ownership.spec.ts
@@ -21,7 +21,7 @@
     .map(({ id }) => id)
 
 describe('createOwnership', () => {
-  it('gives every service one owner and spreads them', async (t) => {
+  it('gives every service one owner and spreads the services', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2', 'n3', 'n4'].map((id) => startNode(table, id))
     await sleep(3000)
@@ -30,8 +30,8 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  // Found with unequal nodes: one of 0.3 cores owned the queue at its peak.
-  it('gives services to the nodes with most room, and a strong one several', async (t) => {
+  // Otherwise a node with 0.3 of a core can own a queue at its peak.
+  it('prefers nodes with more capacity, and gives several services to a large one', async (t) => {
     const table = createRowTable()
     const rooms = { n1: 0.3, n2: 1.4, n3: 0.3, n4: 0.9, n5: 0.7 }
     const nodes = Object.entries(rooms).map(([id, room]) => startNode(table, id, room))
@@ -41,8 +41,8 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  // A term that is lower than the last one would be fenced by every target.
-  it('leaves a service alone whose last term it cannot read', async (t) => {
+  // Every target would fence a term that is lower than the last one.
+  it('does not claim a service whose last term it cannot read', async (t) => {
     const table = createRowTable()
     table.put({ table: 'epochs', part: 'a', key: 'epoch' }, '{"holder":"n9","term":"12"}')
     const node = startNode(table, 'n1')
@@ -52,8 +52,8 @@
     await node.stop()
   })
 
-  // The service had no owner until somebody mended the row by hand.
-  it('takes it with a term above all before when nobody mends the row', async (t) => {
+  // Otherwise the service has no owner until somebody repairs the row by hand.
+  it('claims a service with a higher term when nobody repairs its unreadable row', async (t) => {
     const table = createRowTable()
     const key = { table: 'epochs', part: 'a', key: 'epoch' }
     const node = startNode(table, 'n1')
@@ -67,7 +67,7 @@
     const next = node.authorities.get('a')!
     t.true(next.term > former.term + 1_000_000)
     t.true(next.term * 65_536 < Number.MAX_SAFE_INTEGER)
-    // Nothing says whose it was, so that one may still act.
+    // The previous owner is unknown, so it may still be active.
     t.true(next.predecessorMayLive)
     const told = node.log.events.map(({ name }) => name)
     t.is(told.filter((name) => name === 'rowInvalid').length, 1)
@@ -77,9 +77,9 @@
     await node.stop()
   })
 
-  // Found on scale-2: a node that was cut off took the fleet back as soon as it was back,
-  // on rows that it had read before the cut.
-  it('leaves services alone that were taken over while it was cut off', async (t) => {
+  // Otherwise a node that was cut off takes the fleet back as soon as it is connected again, based
+  // on rows that it read before.
+  it('does not claim services that were taken over while the node was cut off', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2', 'n3'].map((id) => startNode(table, id))
     await sleep(2500)
@@ -124,9 +124,9 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  // Found on fk-aktiv trouble-3: after all nodes had lost power, the row of one that was
-  // replaced long before still named it as the owner of the fleet.
-  it('does not wait for a node whose row has long stood still', async (t) => {
+  // After a loss of power at all nodes, the row of a node that was replaced long before can still
+  // name that node as the owner of the fleet.
+  it('does not wait for a node whose lease ended long ago, and removes its row', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2'].map((id) => startNode(table, id))
     const row = { life: 'gone', address: 'x:1', hall: 'h1', owns: ['a'], leaving: false }
@@ -136,7 +136,7 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  it('hands services over at the end of an outage in a planned stop', async (t) => {
+  it('hands services over in a planned stop when an outage of the store ends', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2'].map((id) => startNode(table, id))
     await sleep(2500)
@@ -151,14 +151,14 @@
     await nodes[1]!.stop()
   })
 
-  it('takes nothing over at the end of an outage from owners that live', async (t) => {
+  it('takes nothing over from live owners when an outage of the store ends', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2', 'n3'].map((id) => startNode(table, id))
     await sleep(2500)
     for (let outage = 0; outage < 2; outage++) {
       table.faults.down = true
       await sleep(NODE_LEASE_MS + 800)
-      // Some reach the store a little before the others.
+      // Some nodes reach the store slightly before the others.
       table.faults.refusedNodes = new Set(['n1', 'n2'])
       table.faults.down = false
       await sleep(400)
@@ -172,7 +172,7 @@
     await Promise.all(nodes.map((node) => node.stop()))
   })
 
-  it('sees every node again after the history of the store is gone', async (t) => {
+  it('finds every node again after the store has compacted its history', async (t) => {
     const table = createRowTable()
     const nodes = ['n1', 'n2', 'n3'].map((id) => startNode(table, id))
     await sleep(1500)
--- a/src/ownership/__tests__/partialOutage.spec.ts
+++ b/src/ownership/__tests__/partialOutage.spec.ts
@@ -1,13 +1,11 @@
 /**
- * What users saw: of a queue that had its turn while a fifth of the store's parts was down for 6.5 s,
- * 0.07 of the worth was earned; on the same day with other parts down it was 0.82.
- * Order of events: the parts go down; the node that owns the fleet of VMs cannot renew its row,
- * which lies in one of them; after its lease it gives no orders; the others see its row stand still,
- * and none may claim the fleet, because that row cannot be read again; no VM moves for 6 s.
- * Cause: whether a node lives was said in one part of the store alone.
- * Evidence: orders for VMs end in second 31 and go on in second 37; `RS-4001` of 11 of 44
- * nodes each 0.15 s about their own row, followed by `RS-4002` about the rows of the others;
- * `RS-7001` of the fleet 0.08 s after the parts are back.
+ * Guards against an owner that cannot renew its lease because its part of the store is down. If the
+ * node row exists in one part only, the owner of the fleet sends no orders after its lease, and no
+ * other node may claim the fleet, because the owner's row cannot be read again. With a fifth of the
+ * parts down for 6.5 s, no VM moves for 6 s, and a queue at its turn earns 0.07 of its worth, as
+ * against 0.82 with other parts down.
+ * The log then shows `RS-4001` every 0.15 s at 11 of 44 nodes about their own row, followed by
+ * `RS-4002` about the rows of others, and `RS-7001` of the fleet 0.08 s after the parts are back.
  */
 import { err } from 'neverthrow'
 import { createRowTable } from '../../../playground/sim/rowTable.js'
@@ -43,7 +41,7 @@
 }
 
 describe('a node whose part of the store is down', () => {
-  it('goes on renewing its lease, and the others see it alive', async (t) => {
+  it('keeps renewing its lease and counts as alive', async (t) => {
     const { table, nodes, stop } = startNodes(3)
     await sleep(1000)
     table.faults.refusedParts.add('n1')
@@ -59,7 +57,7 @@
     await stop()
   })
 
-  it('does so while two of its parts are down', async (t) => {
+  it('keeps renewing its lease while two of its parts are down', async (t) => {
     const { table, nodes, stop } = startNodes(2)
     await sleep(1000)
     for (const part of ['n1', 'n1~2']) table.faults.refusedParts.add(part)
@@ -70,7 +68,7 @@
     await stop()
   })
 
-  it('can be read again by one that would claim its service', async (t) => {
+  it('can still be read by a node that would claim its service', async (t) => {
     const { table, nodes, stop } = startNodes(2)
     await sleep(600)
     table.faults.refusedParts.add('n1')
@@ -79,8 +77,8 @@
     await stop()
   })
 
-  // An answer that was lost says nothing of the part: the row may have been renewed there.
-  it('is not taken for read when the answer of one part was lost', async (t) => {
+  // A lost answer says nothing about the part: the row may have been renewed there.
+  it('does not count as read when the answer from one part was lost', async (t) => {
     const { table, stop } = startNodes(1)
     await sleep(600)
     const store = table.forNode('n2')
@@ -95,7 +93,7 @@
     await stop()
   })
 
-  it('is missed after its lease when it is gone as well', async (t) => {
+  it('counts as dead after its lease when it is gone as well', async (t) => {
     const { table, nodes, stop } = startNodes(2)
     await sleep(600)
     table.faults.refusedParts.add('n1')
@@ -106,7 +104,7 @@
     await stop()
   })
 
-  it('is seen as it is once its part is back', async (t) => {
+  it('still counts as alive once its part is back', async (t) => {
     const { table, nodes, stop } = startNodes(2)
     await sleep(600)
     table.faults.refusedParts.add('n1')
--- a/src/ownership/__tests__/sharedRenewals.spec.ts
+++ b/src/ownership/__tests__/sharedRenewals.spec.ts
@@ -25,7 +25,7 @@
     while (writes === 0) await sleep(5)
     const before = writes
     await Promise.all(Array.from({ length: CALLERS }, () => node.registry.renewNow()))
-    // One of the node's own may have come between.
+    // One scheduled renewal of the node may fall in between.
     t.true(writes >= before + 1 && writes <= before + 2, `${writes - before} writes`)
   })
 })
--- a/src/vms/__tests__/fleetOwner.spec.ts
+++ b/src/vms/__tests__/fleetOwner.spec.ts
@@ -105,7 +105,7 @@
   return { fleet, orders, state, statusOf }
 }
 
-/** Reports every 50 ms for a while, as the answers ask for. */
+/** Reports every 50 ms for `ms`; `make` gets the targets to empty from the last answer. */
 async function reportFor(
   fleet: FleetOwner,
   ms: number,
@@ -127,10 +127,9 @@
     await fleet.stop(false)
   })
 
-  // Users of the larger sites saw each turn of a queue begin late: it asked for 80 VMs and more, the
-  // cloud took 215 orders a second, and the VMs came 47 to 56 a second (counted by second in the
-  // orders of two days), because a bound of another cloud was built in.
-  describe('bound on the orders of a second', () => {
+  // With a built-in limit that belongs to another cloud, a queue that needs 80 VMs and more gets 47 to
+  // 56 a second although its cloud accepts 215 orders a second, so each of its turns begins late.
+  describe('limit on the orders per second', () => {
     const vms = () => [
       vmOf(1, 'a'),
       ...Array.from({ length: 150 }, (_, each) => vmOf(each + 2, 'idle')),
@@ -142,17 +141,17 @@
       return orders.length
     }
 
-    it('is that of the cloud', async (t) => {
+    it('is the limit of the cloud', async (t) => {
       t.is(await movesWith(215), 150)
     })
 
-    it('leaves some of a smaller one for orders that are repeated', async (t) => {
+    it('leaves some orders of a lower limit for repeated orders', async (t) => {
       const moves = await movesWith(64)
       t.true(moves >= 50 && moves < 64, `${moves}`)
     })
   })
 
-  it('moves an idle VM of another service only once that is closed for new tasks', async (t) => {
+  it('moves an idle VM of another service only once it is closed for new tasks', async (t) => {
     const { fleet, orders } = startFleet([vmOf(1, 'a'), vmOf(2, 'b'), vmOf(3, 'b')])
     const reports = (closed: boolean) => [
       reportOf('a', 15_000, [load('i1', 3, false)]),
@@ -166,10 +165,10 @@
     await fleet.stop(false)
   })
 
-  // A pool of one target, which was to be emptied for its VM, ran nothing for 6.2 s although it
-  // was free: the store was slow, the fleet's owner could give no order and made no new plan,
-  // and its answers named the targets of the last one all the while.
-  it('opens what it has closed for orders that it cannot give', async (t) => {
+  // While the store is slow, the owner of the fleet can send no orders and makes no new plan. If its
+  // answers kept naming the targets of the last plan, a pool whose only target is to be emptied would
+  // run nothing although that target is free, for 6.2 s in one case.
+  it('opens targets that it has closed for orders that it cannot send', async (t) => {
     const { fleet, orders, state } = startFleet([
       vmOf(1, 'a'),
       vmOf(2, 'b'),
@@ -184,14 +183,14 @@
     state.confirmed = false
     t.deepEqual(fleet.report(reports(true)[1]!)?.evacuate, [])
     state.confirmed = true
-    // The report that said that the target is closed counts no more: it has been opened.
+    // The report of the closed target no longer counts, because the target was opened.
     await sleep(300)
     t.deepEqual(orders, [])
     await fleet.stop(false)
   })
 
-  // Found on fk-aktiv trouble-1: a second order for maintenance that had been done.
-  it('does not call a life over that an accepted order has not ended', async (t) => {
+  // The cloud also accepts a second order for maintenance that has been done already.
+  it('does not report a life as ended that an accepted order has not ended', async (t) => {
     const wave = { id: 1, vms: ['m1'], durationMs: 10_000, maxDown: 1 }
     const { fleet, orders, state } = startFleet([vmOf(1, 'a'), vmOf(2, 'a')], [wave])
     state.apply = false
@@ -202,7 +201,7 @@
     await fleet.stop(false)
   })
 
-  it('tells of a life that the list shows to be over after an order', async (t) => {
+  it('reports a life as ended once the list shows it after an order', async (t) => {
     const wave = { id: 1, vms: ['m1'], durationMs: 10_000, maxDown: 1 }
     const { fleet, statusOf } = startFleet([vmOf(1, 'a'), vmOf(2, 'a')], [wave])
     const make = () => [reportOf('a', 2000, [load('i1', 0, true), load('i2', 1, false)])]
@@ -230,13 +229,13 @@
     await fleet.stop(false)
   })
 
-  // Found by the process test of a killed owner: VMs were moved with runs on them.
-  describe('a report that says that a target is closed', () => {
+  // Otherwise VMs with runs on them are moved after the owner of their service was killed.
+  describe('a report of a closed target', () => {
     const vms = () => [vmOf(1, 'a'), vmOf(2, 'b'), vmOf(3, 'b')]
     const wanting = (cpu: number) => reportOf('a', cpu, [load('i1', 3, false)])
     const closed = () => reportOf('b', 2000, [load('i2', 1, false), load('i3', 0, true)])
 
-    it('counts no more once the answer has opened the target', async (t) => {
+    it('no longer counts once the answer has opened the target', async (t) => {
       const { fleet, orders } = startFleet(vms(), [], '')
       await reportFor(fleet, 300, () => [
         wanting(15_000),
@@ -251,7 +250,7 @@
       await fleet.stop(false)
     })
 
-    it('counts no more once a newer one has come', async (t) => {
+    it('no longer counts once a newer report has arrived', async (t) => {
       const { fleet, orders } = startFleet(vms(), [], '')
       await reportFor(fleet, 300, () => [
         wanting(15_000),
@@ -266,8 +265,8 @@
     })
   })
 
-  it('gives no order while one of its predecessor may be under way', async (t) => {
-    // An order given just before the end of the lease may be under way for 1 s from now.
+  it('sends no order while one of the previous owner may be in flight', async (t) => {
+    // An order sent just before the end of the lease may be in flight for 1 s from now.
     const leaseOverAt = performance.now() + 1000 - ORDER_IN_FLIGHT_MS
     const { fleet, orders } = startFleet(
       [vmOf(1, 'a'), vmOf(2, 'idle')],
@@ -283,8 +282,8 @@
     await fleet.stop(false)
   })
 
-  // Found on trouble-1: both VMs of a service were due, and it started nothing for 2 s.
-  it('empties no VM that its service needs while there is time', async (t) => {
+  // Otherwise a service whose only two VMs are both due starts nothing for 2 s.
+  it('empties no VM that its service needs early in a wave', async (t) => {
     const wave = { id: 1, vms: ['m1', 'm2'], durationMs: 3000, maxDown: 2 }
     const { fleet } = startFleet([vmOf(1, 'a'), vmOf(2, 'a')], [wave])
     const loads = [load('i1', 3, false), load('i2', 2, false)]
@@ -296,9 +295,9 @@
     await fleet.stop(false)
   })
 
-  // Found on scale-1: after a loss of all nodes the new owner parked nine VMs that the next
-  // queue needed 1.7 s later.
-  it('parks nothing before it can know of peaks', async (t) => {
+  // Otherwise, after a loss of all nodes, the new owner parks nine VMs that the next queue needs
+  // 1.7 s later.
+  it('parks no VM before it can know the peaks', async (t) => {
     const { fleet, orders } = startFleet([vmOf(1, 'a'), vmOf(2, 'a'), vmOf(3, 'b')])
     const make = (evacuate: string[]) => [
       reportOf('a', 1000, [load('i1', 1, false), load('i2', 0, evacuate.includes('i2'))]),
@@ -310,8 +309,8 @@
     await fleet.stop(false)
   })
 
-  // Found on scale-1: one VM that left was ordered about 45 times in 2 s.
-  it('leaves a VM alone for a while that the cloud calls busy', async (t) => {
+  // Otherwise one VM that is leaving gets about 45 orders in 2 s.
+  it('pauses orders to a VM that the cloud reports as busy', async (t) => {
     const { fleet, orders, state } = startFleet([vmOf(1, 'a'), vmOf(2, 'idle')])
     state.busy = true
     await reportFor(fleet, 600, () => [reportOf('a', 15_000, [load('i1', 3, false)])])
@@ -322,7 +321,7 @@
     await fleet.stop(false)
   })
 
-  it('gives no order while its ownership is not confirmed', async (t) => {
+  it('sends no order while its ownership is not confirmed', async (t) => {
     const { fleet, orders, state } = startFleet([vmOf(1, 'a'), vmOf(2, 'idle')])
     state.confirmed = false
     await reportFor(fleet, 500, () => [reportOf('a', 15_000, [load('i1', 3, false)])])
@@ -330,7 +329,7 @@
     await fleet.stop(false)
   })
 
-  it('passes over reports of a deposed owner', async (t) => {
+  it('ignores reports of a replaced owner', async (t) => {
     const { fleet, orders } = startFleet([vmOf(1, 'a'), vmOf(2, 'idle')])
     await reportFor(fleet, 500, () => [
       reportOf('a', 2000, [load('i1', 1, false)], 2),
--- a/src/vms/__tests__/poolPlanner.spec.ts
+++ b/src/vms/__tests__/poolPlanner.spec.ts
@@ -45,9 +45,9 @@
   const vms = [vmOf(1, 'a'), vmOf(2, 'b'), vmOf(3, 'b'), vmOf(4, 'b')]
 
   describe('where one service has timely work and another only late work', () => {
-    // Found with a queue whose turn had begun after all nodes had lost power: it got its
-    // VMs one by one in 5 s, because the last queue still worked off what was late.
-    it('takes VMs with passing tasks, those with least work first', (t) => {
+    // Otherwise a queue whose turn begins after a loss of power at all nodes gets its VMs one by
+    // one within 5 s, because the previous queue still works on late jobs.
+    it('takes VMs whose tasks end by themselves, those with the least work first', (t) => {
       const late = [
         loadOf(2, { runs: 5, usedCpu: 9000 }),
         loadOf(3, { runs: 1, usedCpu: 900 }),
@@ -57,7 +57,7 @@
       t.deepEqual(movesOf(inputOf(vms, reports)), ['m3 a', 'm4 a'])
     })
 
-    it('stays with the VMs that it is emptying already', (t) => {
+    it('keeps to the VMs that are already being emptied', (t) => {
       const late = [
         loadOf(2, { runs: 5, usedCpu: 9000, evacuating: true }),
         loadOf(3, { runs: 1, usedCpu: 900 }),
@@ -67,7 +67,7 @@
       t.deepEqual(movesOf(inputOf(vms, reports)), ['m4 a', 'm2 a'])
     })
 
-    it('leaves VMs with lasting tasks and the last VM of a service alone', (t) => {
+    it('takes neither VMs with lasting tasks nor the last VM of a service', (t) => {
       const late = [2, 3, 4].map((number) => loadOf(number, { runs: 1, lasting: 1 }))
       const reports = [reportOf('a', TIMELY, [loadOf(1)]), reportOf('b', LATE, late)]
       t.deepEqual(movesOf(inputOf(vms, reports)), [])
@@ -87,7 +87,7 @@
     t.deepEqual(movesOf(inputOf(vms, reports)), [])
   })
 
-  it('serves timely needs from spare VMs before late ones', (t) => {
+  it('gives spare VMs to timely work before late work', (t) => {
     const spare = [vmOf(1, 'a'), vmOf(2, 'b'), vmOf(3, 'idle')]
     const reports = [
       reportOf('a', LATE, [loadOf(1, { runs: 9 })]),
@@ -101,7 +101,7 @@
     const TWO_VMS = { cpu: 1.6 * VM_CPU, timelyCpu: 1.6 * VM_CPU }
     const bad = loadOf(1, { suspect: true })
 
-    it('do not count as supply: another one comes, and the bad one goes', (t) => {
+    it('do not count as supply and are replaced by others', (t) => {
       const pool = [vmOf(1, 'a'), vmOf(5, 'a'), vmOf(3, 'idle')]
       const movesFor = (need: typeof ONE_VM) =>
         movesOf(inputOf(pool, [reportOf('a', need, [bad, loadOf(5)])]))
@@ -115,12 +115,12 @@
       t.deepEqual(movesOf(inputOf(pool, [reportOf('a', ONE_VM, [busy, loadOf(5)])])), [])
     })
 
-    it('stay where they are the last of their pool', (t) => {
+    it('stay while they are the last of their pool', (t) => {
       const pool = [vmOf(1, 'a'), vmOf(3, 'idle')]
       t.deepEqual(movesOf(inputOf(pool, [reportOf('a', ONE_VM, [bad])])), ['m3 a'])
     })
 
-    it('stay where the others of their pool are leaving, and for no other service', (t) => {
+    it('stay while the others of their pool are leaving, even if another service lacks VMs', (t) => {
       const pool = [vmOf(1, 'a'), vmOf(5, 'a'), vmOf(2, 'b')]
       const ofA = reportOf('a', ONE_VM, [bad, loadOf(5)])
       for (const leaving of ['emptying', 'ordered'] as const) {
@@ -132,7 +132,7 @@
       t.deepEqual(movesOf(inputOf(two, [reportOf('a', ONE_VM, [bad]), ofB])), [])
     })
 
-    it('go to another service that misses one, where none is spare', (t) => {
+    it('move to another service that lacks a VM when none is spare', (t) => {
       const pool = [vmOf(1, 'a'), vmOf(5, 'a'), vmOf(2, 'b')]
       const reports = [
         reportOf('a', ONE_VM, [bad, loadOf(5)]),
@@ -143,7 +143,7 @@
   })
 
   describe('where every service has more late work than its VMs can do', () => {
-    /** Pools of so many busy VMs whose services need so many. */
+    /** Builds pools of `has` busy VMs whose services need `needs` VMs. */
     function inputWithPools(pools: [name: string, has: number, needs: number][]) {
       let number = 0
       const all: Vm[] = []
@@ -164,8 +164,8 @@
       return counts
     }
 
-    // Accepted jobs of the small pool waited for 28 s, with no reason but where the VMs were.
-    it('gives more VMs to the one whose work waits far longer', (t) => {
+    // Otherwise accepted jobs of the small pool wait 28 s only because the VMs are in the other pool.
+    it('gives more VMs to the service whose work waits far longer', (t) => {
       const counts = countsTo(
         inputWithPools([
           ['a', 2, 166],
@@ -173,11 +173,11 @@
         ]),
       )
       t.deepEqual([...counts.keys()], ['a'])
-      // Half of the fair share of 25, at least.
+      // At least about half of the fair share of 25.
       t.true(counts.get('a')! >= 10 && counts.get('a')! <= 25, String(counts.get('a')))
     })
 
-    it('moves none where the work waits about as long', (t) => {
+    it('moves none while the work of both waits about equally long', (t) => {
       t.is(
         countsTo(
           inputWithPools([
@@ -189,7 +189,7 @@
       )
     })
 
-    it('takes none that timely work needs', (t) => {
+    it('takes no VM that timely work needs', (t) => {
       const input = inputWithPools([
         ['a', 2, 166],
         ['b', 4, 20],
@@ -199,7 +199,7 @@
       t.false(countsTo(input).has('a'))
     })
 
-    it('comes to rest', (t) => {
+    it('plans no further moves once its moves are done', (t) => {
       const input = inputWithPools([
         ['a', 12, 166],
         ['b', 42, 196],
