--- a/src/ownership/__tests__/idleNodes.spec.ts
+++ b/src/ownership/__tests__/idleNodes.spec.ts
@@ -16,7 +16,7 @@
 const SERVICES = ['a', 'b', 'c', 'd']
 
 /** Wraps a store and counts the calls to it. */
-function counting(store: RowStore) {
+function countCalls(store: RowStore) {
   let calls = 0
   const counted = <A extends unknown[], R>(call: (...args: A) => R) => {
     return (...args: A): R => {
@@ -40,7 +40,7 @@
   const table = createRowTable()
   const nodes = Array.from({ length: count }, (_, each) => {
     const id = `n${String(each + 1).padStart(3, '0')}`
-    const { store, calls } = counting(table.forNode(id))
+    const { store, calls } = countCalls(table.forNode(id))
     const node = startOwnerNode({ id, store, services: SERVICES })
     return { ...node, calls }
   })
--- a/src/ownership/__tests__/lateLease.spec.ts
+++ b/src/ownership/__tests__/lateLease.spec.ts
@@ -16,7 +16,7 @@
 import { createLeaseLength } from '../leaseLength.js'
 
 /** Delays the commits of one node by `state.callMs`. */
-function slowed(store: RowStore, state: { callMs: number }): RowStore {
+function delayCommits(store: RowStore, state: { callMs: number }): RowStore {
   return {
     ...store,
     async commit(tx) {
@@ -34,7 +34,7 @@
   const table = createRowTable()
   const state = { callMs: 0 }
   const services = ['a']
-  const store = slowed(table.forNode('n1'), state)
+  const store = delayCommits(table.forNode('n1'), state)
   const late = startOwnerNode({ id: 'n1', store, services, room: 9 })
   while (!late.authorities.has('a')) await sleep(20)
   const next = startOwnerNode({ id: 'n2', store: table.forNode('n2'), services })
--- a/src/ownership/__tests__/ownership.spec.ts
+++ b/src/ownership/__tests__/ownership.spec.ts
@@ -84,20 +84,20 @@
     const nodes = ['n1', 'n2', 'n3'].map((id) => startNode(table, id))
     await sleep(2500)
     const cut = nodes[0]!
-    const had = [...cut.authorities.keys()]
-    t.true(had.length > 0)
+    const ownedBefore = [...cut.authorities.keys()]
+    t.true(ownedBefore.length > 0)
     table.faults.refusedNodes.add(cut.id)
     await sleep(NODE_LEASE_MS + 3500)
-    for (const service of had) {
+    for (const service of ownedBefore) {
       t.is(ownersOf(nodes.slice(1), service).length, 1, service)
       t.false(cut.authorities.get(service)?.isConfirmed())
     }
     const taken = new Map(
-      had.map((service) => [service, ownersOf(nodes.slice(1), service)[0]]),
+      ownedBefore.map((service) => [service, ownersOf(nodes.slice(1), service)[0]]),
     )
     table.faults.refusedNodes.clear()
     await sleep(3000)
-    for (const service of had)
+    for (const service of ownedBefore)
       t.deepEqual(ownersOf(nodes, service), [taken.get(service)!])
     await Promise.all(nodes.map((node) => node.stop()))
   })
--- a/src/ownership/leaseLength.ts
+++ b/src/ownership/leaseLength.ts
@@ -32,7 +32,7 @@
   let loggedMs = ms
 
   /** Logs a large change, which explains why the loss of this node is detected later. */
-  function logChange(): void {
+  function logLargeChange(): void {
     if (Math.abs(ms - loggedMs) < loggedMs * MIN_LOGGED_CHANGE) return
     log.event('ownerLease', { leaseMs: Math.round(ms), previousMs: Math.round(loggedMs) })
     loggedMs = ms
@@ -44,7 +44,7 @@
       const [, secondLongestMs = 0] = [...intervalsMs].sort((a, b) => b - a)
       const requiredMs = secondLongestMs * LATE_LEASE_INTERVALS
       ms = Math.min(LATE_LEASE_MAX_MS, Math.max(NODE_LEASE_MS, requiredMs))
-      logChange()
+      logLargeChange()
     },
     ms: () => ms,
   }
--- a/src/vms/__tests__/fleetOwner.spec.ts
+++ b/src/vms/__tests__/fleetOwner.spec.ts
@@ -232,19 +232,19 @@
   // Otherwise VMs with runs on them are moved after the owner of their service was killed.
   describe('a report of a closed target', () => {
     const vms = () => [vmOf(1, 'a'), vmOf(2, 'b'), vmOf(3, 'b')]
-    const wanting = (cpu: number) => reportOf('a', cpu, [load('i1', 3, false)])
+    const reportNeeding = (cpu: number) => reportOf('a', cpu, [load('i1', 3, false)])
     const closed = () => reportOf('b', 2000, [load('i2', 1, false), load('i3', 0, true)])
 
     it('no longer counts once the answer has opened the target', async (t) => {
       const { fleet, orders } = startFleet(vms(), [], '')
       await reportFor(fleet, 300, () => [
-        wanting(15_000),
+        reportNeeding(15_000),
         reportOf('b', 2000, [load('i2', 1, false), load('i3', 0, false)]),
       ])
-      fleet.report(wanting(2000))
+      fleet.report(reportNeeding(2000))
       await sleep(250)
       t.deepEqual(fleet.report(closed())?.evacuate, [])
-      fleet.report(wanting(15_000))
+      fleet.report(reportNeeding(15_000))
       await sleep(250)
       t.deepEqual(orders, [])
       await fleet.stop(false)
@@ -253,7 +253,7 @@
     it('no longer counts once a newer report has arrived', async (t) => {
       const { fleet, orders } = startFleet(vms(), [], '')
       await reportFor(fleet, 300, () => [
-        wanting(15_000),
+        reportNeeding(15_000),
         reportOf('b', 2000, [load('i2', 1, false), load('i3', 0, false)]),
       ])
       const late = closed()
--- a/src/vms/poolPlanner.ts
+++ b/src/vms/poolPlanner.ts
@@ -75,7 +75,7 @@
   for (const [service, report] of input.reports) {
     // A VM that is being emptied or maintained cannot run the service's tasks, nor can one that
     // works so badly that the owner of the service places no tasks there.
-    const there = vms.filter(
+    const usable = vms.filter(
       (vm) =>
         (movingTo.get(vm.name) ?? vm.pool) === service &&
         (vm.state === 'up' || vm.state === 'moving') &&
@@ -83,9 +83,9 @@
         !loads.get(vm.targetId)?.suspect,
     ).length
     const needed = neededBy.get(service) ?? 0
-    gaps.timely.set(service, neededVms(report, report.timelyCpu, cpuPerVm) - there)
-    gaps.now.set(service, needed - there)
-    gaps.kept.set(service, input.vmsToKeep(service, needed) - there)
+    gaps.timely.set(service, neededVms(report, report.timelyCpu, cpuPerVm) - usable)
+    gaps.now.set(service, needed - usable)
+    gaps.kept.set(service, input.vmsToKeep(service, needed) - usable)
   }
   return gaps
 }
@@ -190,8 +190,8 @@
       }
       return undefined
     }
-    const wanting = [...wanted].filter(([, gap]) => gap > 0).sort((a, b) => b[1] - a[1])
-    for (const [service] of wanting) {
+    const lacking = [...wanted].filter(([, gap]) => gap > 0).sort((a, b) => b[1] - a[1])
+    for (const [service] of lacking) {
       while ((wanted.get(service) ?? 0) > 0) {
         const vm = findFor(service)
         if (!vm) break
@@ -202,8 +202,8 @@
 
   /** The pool with the highest pressure; undefined when no service needs more VMs. */
   function highestPressurePool(): string | undefined {
-    const wanting = [...gaps.now].filter(([, gap]) => gap > 0)
-    const [first] = wanting.sort((a, b) => pressure(b[0]) - pressure(a[0]))
+    const lacking = [...gaps.now].filter(([, gap]) => gap > 0)
+    const [first] = lacking.sort((a, b) => pressure(b[0]) - pressure(a[0]))
     return first?.[0]
   }
 
--- a/src/vms/waveSteps.ts
+++ b/src/vms/waveSteps.ts
@@ -63,7 +63,7 @@
   const { waves, orders, emptying, hurried } = opts
   const view = opts.getView()
   const { wave } = progress
-  const used = (monotonicMs() - progress.seenAt) / wave.durationMs
+  const elapsedShare = (monotonicMs() - progress.seenAt) / wave.durationMs
   const pending = waves
     .pending(progress, view.vms)
     .filter((vm) => vm.state === 'up' && !orders.pending.has(vm.name))
@@ -75,23 +75,23 @@
     if (view.isEmpty(vm)) {
       free--
       await maintain(opts, progress, vm)
-    } else if (busy > 0 && (emptying.has(vm.name) || canSpare(vm, view, used))) {
+    } else if (busy > 0 && (emptying.has(vm.name) || canSpare(vm, view, elapsedShare))) {
       busy--
       free--
       emptying.add(vm.name)
     } else emptying.delete(vm.name)
-    if (used > WAVE_HURRY_AFTER) hurried.add(vm.name)
+    if (elapsedShare > WAVE_HURRY_AFTER) hurried.add(vm.name)
   }
 }
 
 /**
  * Whether the VM may be emptied now: at first only if its service does not need it. Otherwise, with
  * little spare capacity, a service whose only two VMs are both due starts nothing for 2 s.
- * @param used share of the wave's duration that has passed
+ * @param elapsedShare share of the wave's duration that has passed
  */
-function canSpare(vm: Vm, view: FleetView, used: number): boolean {
+function canSpare(vm: Vm, view: FleetView, elapsedShare: number): boolean {
   const supply = view.supplyOf(vm)
-  return !supply || supply.usable > supply.needed || used > WAVE_SPARE_ONLY_UNTIL
+  return !supply || supply.usable > supply.needed || elapsedShare > WAVE_SPARE_ONLY_UNTIL
 }
 
 async function maintain(
@@ -115,8 +115,8 @@
 
 /** Number of VMs in use to empty at the same time so that the wave is complete in time. */
 function busyAtOnce(progress: WaveProgress, pending: number): number {
-  const passed = monotonicMs() - progress.seenAt
-  const leftMs = progress.wave.durationMs * WAVE_TARGET - passed
+  const elapsedMs = monotonicMs() - progress.seenAt
+  const leftMs = progress.wave.durationMs * WAVE_TARGET - elapsedMs
   if (leftMs <= EMPTY_AND_MAINTAIN_MS) return pending
   return Math.ceil((pending * EMPTY_AND_MAINTAIN_MS) / leftMs)
 }
