--- a/src/ownership/claimRules.ts
+++ b/src/ownership/claimRules.ts
@@ -15,9 +15,9 @@
  *
  * Owners are deliberately not spread over data halls. A queue at its turn needs its own owner, the
  * fleet's owner and the cloud at the same time, and with owners spread over three halls the loss of
- * any hall takes one of them away. With a hall cut off, spread owners yield 0.23, 0.24, 0.25, 0.34
- * and 0.35 of the possible worth and serve too little in two of these five cases; owners sorted by
- * id yield 0.29, 0.30, 0.30 and 0.34 and always serve enough.
+ * any hall takes one of them away. With a hall cut off, a site with spread owners reaches a worth of
+ * 0.23, 0.24, 0.25, 0.34 and 0.35 and serves too little in two of these five cases; with owners
+ * sorted by id it reaches 0.29, 0.30, 0.30 and 0.34 and serves enough in all four.
  */
 function sortByLoad(candidates: Member[], counts: Map<string, number>): Member[] {
   const loadOf = (each: Member): number => ((counts.get(each.id) ?? 0) + 1) / each.room
--- a/src/ownership/constants.ts
+++ b/src/ownership/constants.ts
@@ -24,7 +24,7 @@
 export const RENEW_MS = 300
 /**
  * Shortest interval between two renewals of a node that owns nothing, and between two reads by a
- * node that is not a standby either, in ms. Nobody waits for such a node, and a failed call to an
+ * node that is not a standby either, in ms. No service waits for such a node, and a failed call to an
  * owner makes it read at once. At the rate of owners, 44 nodes of which five own something make
  * 68,107 calls in 82 s.
  */
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -92,7 +92,7 @@
   const reader = createNodeRowReader(store)
   const writer = createNodeRowWriter(store, id)
   let renewedAt = -Infinity
-  /** Whether an attempt has failed since then, so that the store was slow and not this node. */
+  /** Whether an attempt has failed since then: the store was slow in that case, not this node. */
   let hasFailedSinceRenewal = true
   /** Services that the row lists as last written. */
   let writtenOwns: string[] = []
