--- a/src/ownership/__tests__/sharedRenewals.spec.ts
+++ b/src/ownership/__tests__/sharedRenewals.spec.ts
@@ -24,8 +24,8 @@
     t.teardown(node.stop)
     while (writes === 0) await sleep(5)
     const before = writes
-    await Promise.all(Array.from({ length: CALLERS }, () => node.registry.announce()))
-    // One of the node's own may have come between.
+    await Promise.all(Array.from({ length: CALLERS }, () => node.registry.renewNow()))
+    // One scheduled renewal of the node may fall in between.
     t.true(writes >= before + 1 && writes <= before + 2, `${writes - before} writes`)
   })
 })
--- a/src/vms/waveSteps.ts
+++ b/src/vms/waveSteps.ts
@@ -1,49 +1,52 @@
-/** Steps of maintenance waves: which VMs are emptied, and which are maintained now. */
+/** Advances maintenance waves: which VMs are emptied and which are maintained now. */
 import type { Vm, Wave } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import {
   EMPTY_AND_MAINTAIN_MS,
-  WAVE_PATIENCE,
-  WAVE_SPARES_UNTIL,
+  WAVE_HURRY_AFTER,
+  WAVE_SPARE_ONLY_UNTIL,
   WAVE_TARGET,
 } from './constants.js'
 import type { VmOrders } from './vmOrders.js'
-import type { WaveBook, WaveProgress } from './waves.js'
+import type { WaveTracker, WaveProgress } from './waves.js'
 
-/** VMs of one service. */
-export interface Supply {
-  /** Those that are up and not being emptied. */
+/** VM counts of one service. */
+export interface VmSupply {
+  /** VMs that are up, not being emptied and without a pending order. */
   usable: number
-  /** Those that it needs for what can still be in time; at least one. */
+  /** VMs that it needs for work that can still be in time; at least one. */
   needed: number
 }
 
-/** What is known of the VMs at the start of a step. */
+/** State of the VMs at the start of a step. */
 export interface FleetView {
   vms: ReadonlyMap<string, Vm>
-  /** Runs that are present on the VM or may be. */
+  /** Number of runs that are or may be present on the VM. */
   runsOn(vm: Vm): number
-  /** Whether nothing runs on the VM and its service starts nothing there any more. */
+  /** Whether nothing runs on the VM and its service starts no new tasks there. */
   isEmpty(vm: Vm): boolean
-  /** VMs that the service of the VM may use and that it needs; undefined where unknown. */
-  supplyOf(vm: Vm): Supply | undefined
+  /** VM counts of the service that the VM belongs to; undefined when they are unknown. */
+  supplyOf(vm: Vm): VmSupply | undefined
 }
 
-/** What the steps work with; the two sets are shared with the owner of the fleet. */
+/** Options of `advanceWaves`; the two sets are shared with the owner of the fleet. */
 export interface WaveStepOptions {
-  waves: WaveBook
+  waves: WaveTracker
   orders: VmOrders
   /** VMs being emptied. */
   emptying: Set<string>
-  /** VMs whose tasks do not hold up their wave any more. */
+  /** VMs whose running tasks no longer delay their wave. */
   hurried: Set<string>
-  look(): FleetView
+  getView(): FleetView
 }
 
-/** Carries out one step of every wave, and writes what has changed. */
-export async function advanceWaves(opts: WaveStepOptions, asked: Wave[]): Promise<void> {
+/** Carries out one step of every wave and writes the changes. */
+export async function advanceWaves(
+  opts: WaveStepOptions,
+  requested: Wave[],
+): Promise<void> {
   const { waves, emptying, hurried } = opts
-  await waves.update(asked)
+  await waves.update(requested)
   for (const progress of waves.active()) await advanceWave(opts, progress)
   for (const name of [...emptying, ...hurried]) {
     const wanted = waves.active().some(({ wave, begun }) => {
@@ -53,14 +56,14 @@
     emptying.delete(name)
     hurried.delete(name)
   }
-  await waves.save(opts.look().vms)
+  await waves.save(opts.getView().vms)
 }
 
 async function advanceWave(opts: WaveStepOptions, progress: WaveProgress): Promise<void> {
   const { waves, orders, emptying, hurried } = opts
-  const view = opts.look()
+  const view = opts.getView()
   const { wave } = progress
-  const used = (monotonicMs() - progress.seenAt) / wave.durationMs
+  const elapsedShare = (monotonicMs() - progress.seenAt) / wave.durationMs
   const pending = waves
     .pending(progress, view.vms)
     .filter((vm) => vm.state === 'up' && !orders.pending.has(vm.name))
@@ -72,23 +75,23 @@
     if (view.isEmpty(vm)) {
       free--
       await maintain(opts, progress, vm)
-    } else if (busy > 0 && (emptying.has(vm.name) || canSpare(vm, view, used))) {
+    } else if (busy > 0 && (emptying.has(vm.name) || canSpare(vm, view, elapsedShare))) {
       busy--
       free--
       emptying.add(vm.name)
     } else emptying.delete(vm.name)
-    if (used > WAVE_PATIENCE) hurried.add(vm.name)
+    if (elapsedShare > WAVE_HURRY_AFTER) hurried.add(vm.name)
   }
 }
 
 /**
- * Whether the VM may be emptied now: at first only one that its service can do without.
- * On a day with little room a service whose both VMs were due started nothing for 2 s.
- * @param used part of the wave's time that has passed
+ * Whether the VM may be emptied now: at first only if its service does not need it. Otherwise, with
+ * little spare capacity, a service whose only two VMs are both due starts nothing for 2 s.
+ * @param elapsedShare share of the wave's duration that has passed
  */
-function canSpare(vm: Vm, view: FleetView, used: number): boolean {
+function canSpare(vm: Vm, view: FleetView, elapsedShare: number): boolean {
   const supply = view.supplyOf(vm)
-  return !supply || supply.usable > supply.needed || used > WAVE_SPARES_UNTIL
+  return !supply || supply.usable > supply.needed || elapsedShare > WAVE_SPARE_ONLY_UNTIL
 }
 
 async function maintain(
@@ -102,7 +105,7 @@
   if (answer === 'accepted') opts.emptying.delete(vm.name)
 }
 
-/** VMs of a wave that are away, or may be by an order of ours. */
+/** Number of VMs of a wave that are in maintenance, or may be because of a pending order. */
 function countDown(wave: Wave, { vms }: FleetView, orders: VmOrders): number {
   return wave.vms.filter((name) => {
     const away = vms.get(name)?.state === 'maintenance'
@@ -110,10 +113,10 @@
   }).length
 }
 
-/** VMs in use to empty at the same time, so that the wave is over in time. */
+/** Number of VMs in use to empty at the same time so that the wave is complete in time. */
 function busyAtOnce(progress: WaveProgress, pending: number): number {
-  const passed = monotonicMs() - progress.seenAt
-  const leftMs = progress.wave.durationMs * WAVE_TARGET - passed
+  const elapsedMs = monotonicMs() - progress.seenAt
+  const leftMs = progress.wave.durationMs * WAVE_TARGET - elapsedMs
   if (leftMs <= EMPTY_AND_MAINTAIN_MS) return pending
   return Math.ceil((pending * EMPTY_AND_MAINTAIN_MS) / leftMs)
 }
