--- a/src/directory/__tests__/targetList.spec.ts
+++ b/src/directory/__tests__/targetList.spec.ts
@@ -5,7 +5,7 @@
 import { createTargetList } from '../index.js'
 
 /** Time in which the list follows a change, with some to spare, in ms. */
-const FOLLOWS_MS = 500
+const UPDATE_WAIT_MS = 500
 
 const entry = (more: object = {}): string =>
   JSON.stringify({
@@ -51,11 +51,11 @@
     const { put, list, ids } = await start({ a: entry(), b: entry() })
     for (const wrong of ['', '{}', entry({ address: 'x' }), entry({ state: 'off' })]) {
       put('a', wrong)
-      await sleep(FOLLOWS_MS)
+      await sleep(UPDATE_WAIT_MS)
       t.deepEqual(ids(), ['b'], wrong)
       t.not(list.unreadableSince('a'), undefined)
       put('a', entry())
-      await sleep(FOLLOWS_MS)
+      await sleep(UPDATE_WAIT_MS)
       t.deepEqual(ids(), ['a', 'b'])
       t.is(list.unreadableSince('a'), undefined)
     }
@@ -66,14 +66,14 @@
     const { put, list, linesOf } = await start({ a: entry() })
     for (let beat = 0; beat < 5; beat++) {
       put('a', entry({ state: 'off', sequence: beat }))
-      await sleep(FOLLOWS_MS / 2)
+      await sleep(UPDATE_WAIT_MS / 2)
     }
     t.is(linesOf('rowInvalid').length, 1)
     put('a', entry())
-    await sleep(FOLLOWS_MS)
+    await sleep(UPDATE_WAIT_MS)
     t.is(linesOf('rowMended').length, 1)
     put('a', JSON.stringify({ text: 'x'.repeat(1 << 20) }))
-    await sleep(FOLLOWS_MS)
+    await sleep(UPDATE_WAIT_MS)
     t.is(linesOf('rowInvalid').length, 2)
     for (const { fields } of linesOf('rowInvalid'))
       t.true(JSON.stringify(fields).length < 700)
@@ -83,7 +83,7 @@
   it('forgets what it noted of an entry that is removed', async (t) => {
     const { table, list, ids, linesOf } = await start({ a: 'no JSON' })
     table.remove({ table: 'servers', part: '', key: 'a' })
-    await sleep(FOLLOWS_MS)
+    await sleep(UPDATE_WAIT_MS)
     t.deepEqual(ids(), [])
     t.is(list.unreadableSince('a'), undefined)
     t.is(linesOf('rowMended').length, 1)
@@ -95,12 +95,12 @@
     const { put, list, ids } = await start({ a: entry(), b: entry() })
     for (const other of [{ service: 'other' }, { address: '10.0.0.9:81' }]) {
       put('a', entry(other))
-      await sleep(FOLLOWS_MS)
+      await sleep(UPDATE_WAIT_MS)
       t.deepEqual(ids(), ['b'])
       put('a', entry())
-      await sleep(FOLLOWS_MS)
+      await sleep(UPDATE_WAIT_MS)
       put('a', entry({ sequence: 2 }))
-      await sleep(FOLLOWS_MS)
+      await sleep(UPDATE_WAIT_MS)
       t.deepEqual(ids(), ['a', 'b'])
       t.is(list.byId().get('a')?.service, 's')
     }
@@ -110,7 +110,7 @@
   it('believes the first entry of a later life with another service and address', async (t) => {
     const { put, list, ids } = await start({ a: entry({ born: 100 }) })
     put('a', entry({ born: 200, service: 'other', address: '10.0.0.9:81' }))
-    await sleep(FOLLOWS_MS)
+    await sleep(UPDATE_WAIT_MS)
     t.deepEqual(ids(), ['a'])
     t.is(list.byId().get('a')?.service, 'other')
     t.is(list.byId().get('a')?.lifeStartMs, 200)
@@ -120,7 +120,7 @@
   it('believes no single entry of an earlier life with another service', async (t) => {
     const { put, list, ids } = await start({ a: entry({ born: 200 }) })
     put('a', entry({ born: 100, service: 'other' }))
-    await sleep(FOLLOWS_MS)
+    await sleep(UPDATE_WAIT_MS)
     t.deepEqual(ids(), [])
     await list.stop()
   })
--- a/src/directory/configurationHolder.ts
+++ b/src/directory/configurationHolder.ts
@@ -9,7 +9,7 @@
  * silently is found after this and the call's time limit; the platform asks for a
  * configuration in force within 2 s.
  */
-const WAIT_MS = 1200
+const LONG_POLL_MS = 1200
 
 /** Configuration and waves, as last accepted. */
 export interface ConfigurationHolder {
@@ -33,7 +33,7 @@
   const { documents, log } = opts
   const listeners: (() => void)[] = []
   const waves = new Map<string, Wave>()
-  const unread = createUnreadRows(log, documents.table)
+  const unreadRows = createUnreadRows(log, documents.table)
   let current: Configuration | undefined
   let byHost = new Map<string, Queue[]>()
   let byName = new Map<string, Queue>()
@@ -47,8 +47,8 @@
       queues: next.queues.length,
     })
     if (next.unread.length > 0) {
-      unread.note(documents.configurationKey, next.unread.join('; '))
-    } else unread.clear(documents.configurationKey)
+      unreadRows.note(documents.configurationKey, next.unread.join('; '))
+    } else unreadRows.clear(documents.configurationKey)
     current = next
     byName = new Map(next.queues.map((queue) => [queue.name, queue]))
     byHost = new Map()
@@ -65,13 +65,13 @@
 
   const readWave = (key: string, value: string | undefined): void => {
     if (value === undefined) {
-      unread.clear(key)
+      unreadRows.clear(key)
       return void waves.delete(key)
     }
     const wave = documents.decodeWave(value)
     // What was asked for stays asked for: only a row that can be read changes it.
-    if (wave.isErr()) return unread.note(key, wave.error.message)
-    unread.clear(key)
+    if (wave.isErr()) return unreadRows.note(key, wave.error.message)
+    unreadRows.clear(key)
     waves.set(key, wave.value)
   }
 
@@ -79,7 +79,7 @@
     store: opts.store,
     table: documents.table,
     part: '',
-    waitMs: WAIT_MS,
+    waitMs: LONG_POLL_MS,
     pauseMs: 0,
     log,
     onRow(_part, key, value) {
@@ -87,7 +87,7 @@
       if (key !== documents.configurationKey || value === undefined) return
       const next = documents.decodeConfiguration(value)
       if (next.isOk()) adopt(next.value)
-      else unread.note(key, next.error.message)
+      else unreadRows.note(key, next.error.message)
     },
     onBatch() {
       for (const listener of listeners) listener()
--- a/src/directory/rowMirror.ts
+++ b/src/directory/rowMirror.ts
@@ -16,7 +16,7 @@
 const RETRY_MS = 200
 
 /** Without a read for so long there was a gap, in ms: some reads at the usual pace failed. */
-const GAP_MS = 1500
+const MAX_READ_GAP_MS = 1500
 
 /** A copy that follows its table until it is stopped. */
 export interface RowMirror {
@@ -54,32 +54,32 @@
 export function createRowMirror(opts: RowMirrorOptions): RowMirror {
   const { store, table, part, log } = opts
   const stopping = createStopController()
-  const known = new Set<string>()
+  const knownKeys = new Set<string>()
   let version = opts.after
   let freshAt = -Infinity
   let steadySince = Infinity
-  let failing = false
+  let isFailing = false
   /** The next read follows at once: this one has only found out from where to go on. */
-  let goesOn = false
+  let skipPause = false
   let markReady: () => void = () => undefined
   const ready = new Promise<void>((resolve) => (markReady = resolve))
 
   const noteFailure = (reason: string): void => {
-    if (!failing) log.event('mirrorStale', { table, reason })
-    failing = true
+    if (!isFailing) log.event('mirrorStale', { table, reason })
+    isFailing = true
   }
 
   const apply = (rowPart: string, key: string, value: string | undefined): void => {
-    if (value === undefined) known.delete(key)
-    else known.add(key)
+    if (value === undefined) knownKeys.delete(key)
+    else knownKeys.add(key)
     opts.onRow(rowPart, key, value)
   }
 
   async function readAll(): Promise<boolean> {
     if (part === undefined) {
       version = await opts.onGap?.()
-      goesOn = version !== undefined
-      return goesOn
+      skipPause = version !== undefined
+      return skipPause
     }
     const res = await store.read(table, part)
     if (res.isErr()) {
@@ -87,7 +87,7 @@
       return false
     }
     const present = new Set(res.value.rows.map(({ key }) => key))
-    for (const key of [...known]) if (!present.has(key)) apply(part, key, undefined)
+    for (const key of [...knownKeys]) if (!present.has(key)) apply(part, key, undefined)
     for (const row of res.value.rows) apply(part, row.key, row.value)
     version = res.value.version
     opts.onBatch?.()
@@ -99,9 +99,9 @@
     const res = await store.changes(table, after, opts.waitMs)
     if (res.isErr()) {
       noteFailure(describeError(res.error))
-      goesOn = res.error.failure === 'compacted'
-      if (goesOn) version = undefined
-      return goesOn
+      skipPause = res.error.failure === 'compacted'
+      if (skipPause) version = undefined
+      return skipPause
     }
     version = res.value.version
     for (const change of res.value.changes) {
@@ -116,15 +116,16 @@
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       const sentAt = monotonicMs()
-      goesOn = false
+      skipPause = false
       const done = version === undefined ? await readAll() : await readChanges(version)
       if (done) {
-        if (sentAt - freshAt > GAP_MS) steadySince = sentAt
+        if (sentAt - freshAt > MAX_READ_GAP_MS) steadySince = sentAt
         freshAt = sentAt
-        if (failing && version !== undefined) log.event('mirrorFresh', { table })
-        failing = false
+        if (isFailing && version !== undefined) log.event('mirrorFresh', { table })
+        isFailing = false
       }
-      if (!goesOn) await sleep(done ? opts.pauseMs : jittered(RETRY_MS), stopping.signal)
+      if (!skipPause)
+        await sleep(done ? opts.pauseMs : jittered(RETRY_MS), stopping.signal)
     }
   }
   const task = run()
--- a/src/directory/targetList.ts
+++ b/src/directory/targetList.ts
@@ -8,13 +8,13 @@
  * Time that the store may wait for a change, in ms: a draining target must be known well
  * within 2 s, and a VM that has moved is heard of sooner than by asking at an interval.
  */
-const WAIT_MS = 200
+const LONG_POLL_MS = 200
 
 /**
  * Pause between two reads, in ms. Entries change with every heartbeat of a target: with a
  * pause of 20 ms a node of 35 targets asked 12 times a second more than every 0.35 s.
  */
-const PAUSE_MS = 150
+const READ_PAUSE_MS = 150
 
 /** The targets that are listed now. */
 export interface TargetList {
@@ -44,7 +44,7 @@
   const unreadable = new Map<string, number>()
   /** Start, service and address of the life of each id, as last written. */
   const identities = new Map<string, { lifeStartMs: number; identity: string }>()
-  const unread = createUnreadRows(opts.log, opts.documents.table)
+  const unreadRows = createUnreadRows(opts.log, opts.documents.table)
   const listeners = new Set<() => void>()
 
   /**
@@ -65,28 +65,28 @@
     )
   }
 
-  function forget(id: string): void {
+  function removeTarget(id: string): void {
     targets.delete(id)
     unreadable.delete(id)
     identities.delete(id)
-    unread.clear(id)
+    unreadRows.clear(id)
   }
 
   /** What an entry said before it could not be read is not used further. */
-  function leaveOut(id: string, reason: string): void {
+  function excludeTarget(id: string, reason: string): void {
     targets.delete(id)
     if (!unreadable.has(id)) unreadable.set(id, monotonicMs())
-    unread.note(id, reason)
+    unreadRows.note(id, reason)
   }
 
   function readEntry(id: string, value: string): void {
     const target = opts.documents.decode(id, value)
-    if (target.isErr()) return leaveOut(id, target.error.message)
+    if (target.isErr()) return excludeTarget(id, target.error.message)
     if (!isAccepted(target.value)) {
-      return leaveOut(id, 'a life that is known with another service or address')
+      return excludeTarget(id, 'a life that is known with another service or address')
     }
     unreadable.delete(id)
-    unread.clear(id)
+    unreadRows.clear(id)
     targets.set(id, target.value)
   }
 
@@ -94,11 +94,11 @@
     store: opts.store,
     table: opts.documents.table,
     part: '',
-    waitMs: WAIT_MS,
-    pauseMs: PAUSE_MS,
+    waitMs: LONG_POLL_MS,
+    pauseMs: READ_PAUSE_MS,
     log: opts.log,
     onRow(_part, id, value) {
-      if (value === undefined) forget(id)
+      if (value === undefined) removeTarget(id)
       else readEntry(id, value)
     },
     onBatch() {
--- a/src/directory/targetSource.ts
+++ b/src/directory/targetSource.ts
@@ -15,16 +15,16 @@
 /** Creates a source that follows nothing yet. */
 export function createTargetSource(createList: () => TargetList): TargetSource {
   let list: TargetList | undefined
-  let users = 0
+  let userCount = 0
   return {
     acquire() {
-      users++
+      userCount++
       list ??= createList()
       return list
     },
     release() {
-      users--
-      if (users > 0) return
+      userCount--
+      if (userCount > 0) return
       void list?.stop()
       list = undefined
     },
--- a/src/front/__tests__/ownerCalls.spec.ts
+++ b/src/front/__tests__/ownerCalls.spec.ts
@@ -9,12 +9,12 @@
 function startCalls(known: string | undefined, fresh: string | undefined) {
   const asked: string[] = []
   let owner = known
-  let looks = 0
+  let refreshes = 0
   const registry = {
     self: { id: 'self', life: 'l' },
     ownerOf: () => (owner === undefined ? undefined : { id: owner, address: owner }),
     async refreshSoon() {
-      looks++
+      refreshes++
       owner = fresh
     },
   } as unknown as NodeRegistry
@@ -30,7 +30,7 @@
   } as unknown as NodeClients
   const local = { service: () => undefined, fleet: () => undefined }
   const calls = createOwnerCalls({ registry, local, clients, log: createMemoryLogger() })
-  return { calls, asked, looks: () => looks }
+  return { calls, asked, refreshes: () => refreshes }
 }
 
 describe('createOwnerCalls', () => {
@@ -55,16 +55,16 @@
   })
 
   it('does not ask twice where the rows still say the same', async (t) => {
-    const { calls, asked, looks } = startCalls('former', 'former')
+    const { calls, asked, refreshes } = startCalls('former', 'former')
     t.is(await calls.status('svc', 'a'), undefined)
     t.deepEqual(asked, ['former'])
-    t.is(looks(), 1)
+    t.is(refreshes(), 1)
   })
 
   it('leaves alone a service that this node is about to own', async (t) => {
-    const { calls, asked, looks } = startCalls('self', 'self')
+    const { calls, asked, refreshes } = startCalls('self', 'self')
     t.is(await calls.status('svc', 'a'), undefined)
-    t.deepEqual([asked, looks()], [[], 0])
+    t.deepEqual([asked, refreshes()], [[], 0])
   })
 })
 
--- a/src/front/__tests__/questionBatches.spec.ts
+++ b/src/front/__tests__/questionBatches.spec.ts
@@ -5,7 +5,7 @@
 
 const ADDRESS = '10.0.0.1:7060'
 /** Longest wait for an answer, in ms. */
-const PATIENCE_MS = 400
+const ANSWER_TIMEOUT_MS = 400
 
 const statusOf = (id: string): NewQuestion => ({
   service: 'one',
@@ -26,7 +26,7 @@
         fail: () => reject(new Error('no answer in time')),
       })
     })
-  }, PATIENCE_MS)
+  }, ANSWER_TIMEOUT_MS)
   const ask = async (id: string): Promise<string> => {
     const answer = await batches.ask(ADDRESS, statusOf(id))
     return answer.isOk() ? answer.value.status : 'failed'
@@ -52,7 +52,7 @@
       const batches = createQuestionBatches((address) => {
         addresses.push(address)
         return new Promise(() => undefined)
-      }, PATIENCE_MS)
+      }, ANSWER_TIMEOUT_MS)
       void batches.ask('n1', statusOf('a'))
       void batches.ask('n2', statusOf('b'))
       t.deepEqual(addresses, ['n1', 'n2'])
--- a/src/front/jobService.ts
+++ b/src/front/jobService.ts
@@ -47,9 +47,9 @@
  * Time in which it is found out what became of a write that went unanswered, in ms. Without
  * an answer a caller may not know whether to ask again; half of the usual deadline of 3 s.
  */
-const UNCERTAIN_PATIENCE_MS = 1500
+const UNKNOWN_COMMIT_TIMEOUT_MS = 1500
 /** Time between two such writes at least, in ms; jittered. */
-const UNCERTAIN_RETRY_MS = 100
+const UNKNOWN_COMMIT_RETRY_MS = 100
 
 /** Outcome of a question for a queue by host and path. */
 export type QueueMatch =
@@ -91,13 +91,13 @@
  * Version of the row that makes the job durable: written now, or by an earlier try that
  * went unanswered. Undefined when an earlier request of the caller has written it.
  */
-function versionOfRow(commit: RowCommit, job: JobSpec): number | undefined {
+function acceptedRowVersion(commit: RowCommit, job: JobSpec): number | undefined {
   if (commit.committed) return commit.version
   return commit.current.find(({ value }) => value === encodeJob(job))?.version
 }
 
 /** Whether a row that stood in the way of a new one says that the job is kept. */
-function isKept(row: StoredRow): boolean {
+function provesAcceptance(row: StoredRow): boolean {
   if (row.table === ENDED_TABLE) return decodeEnded(row.value) !== undefined
   return decodeIntake(row, row.value).kind === 'job'
 }
@@ -105,36 +105,39 @@
 /** Creates the service; it keeps nothing of its own. */
 export function createJobService(opts: JobServiceOptions): JobService {
   const { store, configuration, owners, log } = opts
-  const unread = createUnreadRows(log, INTAKE_TABLE)
+  const unreadRows = createUnreadRows(log, INTAKE_TABLE)
 
   /**
    * Whether the job is kept, by the rows that stood in the way of its own. Where none of them
    * can be read its owner may know it; otherwise the caller is to ask again.
    */
-  async function isKnown(rows: StoredRow[], { service, id }: JobSpec): Promise<boolean> {
-    if (rows.some(isKept)) return true
-    unread.note(id, UNREADABLE)
+  async function isAlreadyAccepted(
+    rows: StoredRow[],
+    { service, id }: JobSpec,
+  ): Promise<boolean> {
+    if (rows.some(provesAcceptance)) return true
+    unreadRows.note(id, UNREADABLE)
     return (await owners.status(service, id)) !== undefined
   }
 
   /** The answer, and a line when it is for want of a row that can be read. */
-  function told<T>(id: string, answer: Answer<T>): Answer<T> {
+  function logIfUnreadable<T>(id: string, answer: Answer<T>): Answer<T> {
     const isUnread = answer.kind === 'unavailable' && answer.reason === UNREADABLE
-    if (isUnread) unread.note(id, UNREADABLE)
+    if (isUnread) unreadRows.note(id, UNREADABLE)
     return answer
   }
 
   /** Commits, again while it is not known what became of it; a repetition must do no harm. */
   async function commitUntilKnown(tx: RowTransaction) {
-    const endsAt = monotonicMs() + UNCERTAIN_PATIENCE_MS
-    let perhapsDone = false
+    const endsAt = monotonicMs() + UNKNOWN_COMMIT_TIMEOUT_MS
+    let mayHaveCommitted = false
     for (;;) {
       const sentAt = monotonicMs()
       const res = await store.commit(tx)
-      perhapsDone ||= res.isErr() && res.error.failure === 'unknown'
-      if (res.isOk() || !perhapsDone || monotonicMs() >= endsAt)
-        return { res, perhapsDone }
-      await sleepUntil(sentAt + jittered(UNCERTAIN_RETRY_MS))
+      mayHaveCommitted ||= res.isErr() && res.error.failure === 'unknown'
+      if (res.isOk() || !mayHaveCommitted || monotonicMs() >= endsAt)
+        return { res, mayHaveCommitted }
+      await sleepUntil(sentAt + jittered(UNKNOWN_COMMIT_RETRY_MS))
     }
   }
 
@@ -164,19 +167,19 @@
       log.event('jobRefused', { job: id, queue: name, reason: problem })
       return { kind: 'invalid', reason: problem }
     }
-    const { res, perhapsDone } = await commitIntake(job)
+    const { res, mayHaveCommitted } = await commitIntake(job)
     if (res.isErr()) {
       const reason = describeError(res.error)
-      const failure = perhapsDone ? 'unknown' : res.error.failure
+      const failure = mayHaveCommitted ? 'unknown' : res.error.failure
       log.event('jobRefused', { job: id, queue: name, failure, reason })
       owners.expect(job)
       if (failure === 'unknown') return { kind: 'uncertain', reason }
       return { kind: 'refused', retryAfterMs: RETRY_AFTER_MS, reason }
     }
     const { committed } = res.value
-    const rowVersion = versionOfRow(res.value, job)
-    const others = res.value.committed ? [] : res.value.current
-    if (rowVersion === undefined && !(await isKnown(others, job))) {
+    const rowVersion = acceptedRowVersion(res.value, job)
+    const conflictingRows = res.value.committed ? [] : res.value.current
+    if (rowVersion === undefined && !(await isAlreadyAccepted(conflictingRows, job))) {
       return { kind: 'uncertain', reason: UNREADABLE }
     }
     const { version } = configuration.current() ?? {}
@@ -188,7 +191,7 @@
 
   async function cancel(queue: Queue, id: string): Promise<Answer<undefined>> {
     for (;;) {
-      const found = told(id, await findStoredJob(store, queue, id))
+      const found = logIfUnreadable(id, await findStoredJob(store, queue, id))
       if (found.kind !== 'ok') return found
       const { service, cancelled, outcome, version } = found.value
       if (outcome) return { kind: 'ok', value: undefined }
@@ -212,9 +215,9 @@
       if (queue)
         return { kind: 'found', queue, rest: path.slice(queue.pathPrefix.length) }
       const current = configuration.current()
-      const stale = monotonicMs() - configuration.freshAt() > CONFIGURATION_STALE_MS
+      const isStale = monotonicMs() - configuration.freshAt() > CONFIGURATION_STALE_MS
       // The queue may be among what could not be read: its callers are not told that it is none.
-      if (!current || stale || current.unread.length > 0) {
+      if (!current || isStale || current.unread.length > 0) {
         return { kind: 'notReady', retryAfterMs: RETRY_AFTER_MS }
       }
       return { kind: 'unknown' }
@@ -227,7 +230,7 @@
       const known = await owners.status(queue.service, id)
       const answer: Answer<JobStatus> = known
         ? { kind: 'ok', value: known }
-        : told(id, await readStoredStatus(store, queue, id))
+        : logIfUnreadable(id, await readStoredStatus(store, queue, id))
       log.event('jobAnswered', { job: id, fromOwner: known !== undefined, ...answer })
       return answer
     },
--- a/src/front/ownerCalls.ts
+++ b/src/front/ownerCalls.ts
@@ -24,21 +24,21 @@
  * Longest wait for the answer to a question, in ms; then the store answers the caller instead,
  * of whose 3 s enough is left.
  */
-const QUESTION_PATIENCE_MS = 400
+const QUESTION_TIMEOUT_MS = 400
 /**
  * The same for news, which nobody waits for. A node that is late reads a call and its end in one
  * turn, and what was given up then has been read for nothing.
  */
-const NEWS_PATIENCE_MS = 2500
+const NOTIFICATION_TIMEOUT_MS = 2500
 /** Pause before news that was not answered is told again, in ms; jittered, and doubled each time. */
-const NEWS_RETRY_MS = 250
+const NOTIFICATION_RETRY_MS = 250
 /** News is told again for so long, in ms: by then the owner has seen it in the store many times. */
-const NEWS_KEPT_MS = 8000
+const NOTIFICATION_RETRY_LIMIT_MS = 8000
 /**
  * Time for which a node that did not answer a question is asked none that the store can answer,
  * in ms: each costs it about 1 ms, and a node that is late has none to spare.
  */
-const REST_MS = 1000
+const QUESTION_BACKOFF_MS = 1000
 
 /** Calls to owners, wherever they run. */
 export interface OwnerCalls {
@@ -78,10 +78,10 @@
     const res = await clients.at(address).ask({ questions }, { timeoutMs })
     return res.answers
   }
-  const questions = createQuestionBatches(send, QUESTION_PATIENCE_MS)
-  const news = createQuestionBatches(send, NEWS_PATIENCE_MS)
+  const questions = createQuestionBatches(send, QUESTION_TIMEOUT_MS)
+  const notifications = createQuestionBatches(send, NOTIFICATION_TIMEOUT_MS)
   /** Steady times until which nodes that did not answer are spared. */
-  const restUntil = new Map<string, number>()
+  const backoffUntil = new Map<string, number>()
 
   /** Address of the owner when that is another node, as far as the rows say. */
   function addressFor(service: string): string | undefined {
@@ -90,7 +90,7 @@
   }
 
   /** Notes that a call to an owner failed; the rows may name another one by now. */
-  function noteLost(step: string, service: string, reason: string): void {
+  function notePeerLost(step: string, service: string, reason: string): void {
     log.event('peerLost', { step, service, reason })
     void registry.refreshSoon()
   }
@@ -99,7 +99,7 @@
    * Asks the owner on another node; undefined when the call fails or it is the owner no more.
    * That costs only time: owners read the store.
    */
-  async function askAt(
+  async function askAddress(
     batches: QuestionBatches,
     address: string,
     service: string,
@@ -107,8 +107,8 @@
   ): Promise<Answer | undefined> {
     const answer = await batches.ask(address, { service, about })
     if (answer.isErr()) {
-      restUntil.set(address, monotonicMs() + REST_MS)
-      noteLost(about.case ?? '', service, describeError(answer.error))
+      backoffUntil.set(address, monotonicMs() + QUESTION_BACKOFF_MS)
+      notePeerLost(about.case ?? '', service, describeError(answer.error))
     }
     return answer.isOk() && answer.value.owns ? answer.value : undefined
   }
@@ -125,22 +125,27 @@
   ): Promise<Answer | undefined> {
     const address = addressFor(service)
     const answer =
-      address === undefined ? undefined : await askAt(batches, address, service, about)
+      address === undefined
+        ? undefined
+        : await askAddress(batches, address, service, about)
     if (answer || registry.ownerOf(service)?.id === registry.self.id) return answer
     await registry.refreshSoon()
     const next = addressFor(service)
     if (next === undefined || next === address) return undefined
-    return askAt(batches, next, service, about)
+    return askAddress(batches, next, service, about)
   }
 
   /**
    * Tells until the owner has answered. Without an owner elsewhere nobody need be told: the
    * next one reads the store first.
    */
-  async function tell(service: string, about: NewQuestion['about']): Promise<void> {
-    const endsAt = monotonicMs() + NEWS_KEPT_MS
-    for (let pauseMs = NEWS_RETRY_MS; ; pauseMs *= 2) {
-      const answer = await ask(news, service, about)
+  async function notifyOwner(
+    service: string,
+    about: NewQuestion['about'],
+  ): Promise<void> {
+    const endsAt = monotonicMs() + NOTIFICATION_RETRY_LIMIT_MS
+    for (let pauseMs = NOTIFICATION_RETRY_MS; ; pauseMs *= 2) {
+      const answer = await ask(notifications, service, about)
       if (answer || monotonicMs() + pauseMs > endsAt) return
       await sleep(jittered(pauseMs))
       if (addressFor(service) === undefined) return
@@ -148,9 +153,9 @@
   }
 
   /** Whether the owner is on a node that did not answer a moment ago. */
-  function isResting(service: string): boolean {
+  function isBackingOff(service: string): boolean {
     const address = addressFor(service)
-    return address !== undefined && monotonicMs() < (restUntil.get(address) ?? 0)
+    return address !== undefined && monotonicMs() < (backoffUntil.get(address) ?? 0)
   }
 
   return {
@@ -158,22 +163,22 @@
       const owner = local.service(job.service)
       if (owner) return owner.offer(job, rowVersion)
       const offer: OfferedJob = { job, rowVersion }
-      void tell(job.service, { case: 'offer', value: JSON.stringify(offer) })
+      void notifyOwner(job.service, { case: 'offer', value: JSON.stringify(offer) })
     },
     expect(job) {
       const owner = local.service(job.service)
       if (owner) return owner.expect(job)
-      void ask(news, job.service, { case: 'expect', value: JSON.stringify(job) })
+      void ask(notifications, job.service, { case: 'expect', value: JSON.stringify(job) })
     },
     cancel(service, id) {
       const owner = local.service(service)
       if (owner) return void owner.cancel(id)
-      void tell(service, { case: 'cancel', value: id })
+      void notifyOwner(service, { case: 'cancel', value: id })
     },
     async status(service, id) {
       const owner = local.service(service)
       if (owner) return owner.status(id)
-      if (isResting(service)) return undefined
+      if (isBackingOff(service)) return undefined
       const answer = await ask(questions, service, { case: 'status', value: id })
       return answer && answer.status !== '' ? (answer.status as JobStatus) : undefined
     },
@@ -192,7 +197,9 @@
       const res = await clients
         .at(address)
         .fleetReport({ report: JSON.stringify(report) }, { timeoutMs: REPORT_TIMEOUT_MS })
-        .catch((cause: unknown) => noteLost('reportToFleet', FLEET, describeError(cause)))
+        .catch((cause: unknown) =>
+          notePeerLost('reportToFleet', FLEET, describeError(cause)),
+        )
       if (!res?.taken) return undefined
       const answer = fleetAnswerSchema.safeParse(parseJson(res.answer))
       return answer.success ? answer.data : undefined
--- a/src/front/ownerRoutes.ts
+++ b/src/front/ownerRoutes.ts
@@ -35,7 +35,7 @@
 export type OfferedJob = z.infer<typeof offeredJobSchema>
 
 /** Hands on what the schema can read; a job that cannot be read comes from the store instead. */
-function withText<T>(
+function withParsed<T>(
   schema: z.ZodType<T>,
   text: string,
   use: (value: T) => void,
@@ -46,15 +46,15 @@
 }
 
 /** What an owner answers, by what it is asked about. */
-const ANSWERS: Record<
+const ANSWER_HANDLERS: Record<
   NonNullable<Question['about']['case']>,
   (owner: ServiceOwner, text: string) => AnswerFields
 > = {
   offer: (owner, text) =>
-    withText(offeredJobSchema, text, ({ job, rowVersion }) =>
+    withParsed(offeredJobSchema, text, ({ job, rowVersion }) =>
       owner.offer(job, rowVersion),
     ),
-  expect: (owner, text) => withText(jobSchema, text, (job) => owner.expect(job)),
+  expect: (owner, text) => withParsed(jobSchema, text, (job) => owner.expect(job)),
   cancel(owner, id) {
     owner.cancel(id)
     return {}
@@ -67,7 +67,7 @@
 function answer(local: LocalOwners, { service, about }: Question) {
   const owner = local.service(service)
   if (!owner || about.case === undefined) return { owns: false }
-  return { owns: true, ...ANSWERS[about.case](owner, about.value) }
+  return { owns: true, ...ANSWER_HANDLERS[about.case](owner, about.value) }
 }
 
 /** Answers other nodes about the services that this node owns, and calls the store for them. */
--- a/src/front/questionBatches.ts
+++ b/src/front/questionBatches.ts
@@ -15,9 +15,9 @@
 /** Names the call in errors. */
 const STEP = 'node.ask'
 /** Questions that one call carries at most: a few ms of the other node's time. */
-const QUESTIONS_PER_CALL = 200
+const MAX_QUESTIONS_PER_CALL = 200
 /** Bytes of text that one call carries at most: half of the largest message. */
-const TEXT_PER_CALL = 512 * 1024
+const MAX_TEXT_PER_CALL = 512 * 1024
 
 /** Asks other nodes. */
 export interface QuestionBatches {
@@ -33,7 +33,7 @@
 }
 
 /** What waits for one node. */
-interface Line {
+interface PeerQueue {
   waiting: Pending[]
   isSending: boolean
 }
@@ -46,7 +46,7 @@
   let count = 0
   for (const { question } of waiting) {
     text += textOf(question).length
-    if (count > 0 && (text > TEXT_PER_CALL || count >= QUESTIONS_PER_CALL)) break
+    if (count > 0 && (text > MAX_TEXT_PER_CALL || count >= MAX_QUESTIONS_PER_CALL)) break
     count++
   }
   return waiting.splice(0, count)
@@ -55,7 +55,7 @@
 /**
  * Creates the gathering; nothing is sent before the first question.
  * @param send calls a node; rejects when it does not answer in time
- * @param patienceMs longest wait for an answer, and for the call to begin
+ * @param answerTimeoutMs longest wait for an answer, and for the call to begin
  */
 export function createQuestionBatches(
   send: (
@@ -63,9 +63,9 @@
     questions: NewQuestion[],
     timeoutMs: number,
   ) => Promise<Answer[]>,
-  patienceMs: number,
+  answerTimeoutMs: number,
 ): QuestionBatches {
-  const lines = new Map<string, Line>()
+  const queues = new Map<string, PeerQueue>()
 
   const failed = (address: string, reason: string): Result<Answer, PlatformError> => {
     const props = { step: STEP, peer: address, failure: 'unknown' as const }
@@ -75,10 +75,10 @@
   async function sendBatch(address: string, batch: Pending[]): Promise<void> {
     try {
       const questions = batch.map(({ question }) => question)
-      const answers = await send(address, questions, patienceMs)
+      const answers = await send(address, questions, answerTimeoutMs)
       for (const [index, each] of batch.entries()) {
-        const answer = answers[index]
-        each.settle(answer ? ok(answer) : failed(address, 'an answer is missing'))
+        const reply = answers[index]
+        each.settle(reply ? ok(reply) : failed(address, 'an answer is missing'))
       }
     } catch (cause) {
       const reason = describeError(cause)
@@ -87,32 +87,33 @@
   }
 
   /** Fails what has waited so long that its caller has no more time for it. */
-  function failOld(address: string, line: Line): void {
-    const oldest = monotonicMs() - patienceMs
-    const old = line.waiting.filter(({ askedAt }) => askedAt < oldest)
-    if (old.length === 0) return
-    line.waiting = line.waiting.filter(({ askedAt }) => askedAt >= oldest)
-    for (const each of old) each.settle(failed(address, 'earlier calls took too long'))
+  function failExpired(address: string, line: PeerQueue): void {
+    const cutoff = monotonicMs() - answerTimeoutMs
+    const expired = line.waiting.filter(({ askedAt }) => askedAt < cutoff)
+    if (expired.length === 0) return
+    line.waiting = line.waiting.filter(({ askedAt }) => askedAt >= cutoff)
+    for (const each of expired)
+      each.settle(failed(address, 'earlier calls took too long'))
   }
 
-  async function run(address: string, line: Line): Promise<void> {
+  async function sendQueued(address: string, line: PeerQueue): Promise<void> {
     line.isSending = true
     while (line.waiting.length > 0) {
       await sendBatch(address, takeBatch(line.waiting))
-      failOld(address, line)
+      failExpired(address, line)
     }
     line.isSending = false
   }
 
   return {
     ask(address, question) {
-      let line = lines.get(address)
-      if (!line) lines.set(address, (line = { waiting: [], isSending: false }))
+      let line = queues.get(address)
+      if (!line) queues.set(address, (line = { waiting: [], isSending: false }))
       const { waiting, isSending } = line
       const answer = new Promise<Result<Answer, PlatformError>>((settle) => {
         waiting.push({ question, askedAt: monotonicMs(), settle })
       })
-      if (!isSending) void run(address, line)
+      if (!isSending) void sendQueued(address, line)
       return answer
     },
   }
--- a/src/jobs/crashes.ts
+++ b/src/jobs/crashes.ts
@@ -44,8 +44,8 @@
 
 function isAtLimit(counted: Task): boolean {
   const likely = likelyCrashes(counted)
-  const isSole = soleCrashes(counted) >= MIN_SOLE_CRASHES
-  return (isSole && likely >= MAX_CRASHES) || likely >= MAX_SHARED_CRASHES
+  const isSoleCause = soleCrashes(counted) >= MIN_SOLE_CRASHES
+  return (isSoleCause && likely >= MAX_CRASHES) || likely >= MAX_SHARED_CRASHES
 }
 
 /** Records a crash during a run of the task; true when the task has reached a crash limit. */
@@ -81,7 +81,7 @@
 
 /** Whether a suspect of the step is placed; the next one must wait for it. */
 export function hasSuspectRunning({ crashSuspects, tasks, spec }: Step): boolean {
-  const running = ({ phase }: Task): boolean => phase === 'placed'
-  if (spec.gang) return crashSuspects.size > 0 && tasks.some(running)
-  return [...crashSuspects].some(running)
+  const isPlaced = ({ phase }: Task): boolean => phase === 'placed'
+  if (spec.gang) return crashSuspects.size > 0 && tasks.some(isPlaced)
+  return [...crashSuspects].some(isPlaced)
 }
--- a/src/jobs/jobBook.ts
+++ b/src/jobs/jobBook.ts
@@ -99,15 +99,15 @@
   const jobs = new Map<string, Job>()
   const open = new Set<Job>()
   const ready = new Set<Task>()
-  const timed = new Set<Job>()
+  const jobsNotFullyDue = new Set<Job>()
   /** Ends of jobs that are held, by id of the job. */
-  const held = new Map<string, HeldEnd[]>()
+  const heldEnds = new Map<string, HeldEnd[]>()
   /** Ends of jobs that are not known, while some may be missed; by id of the job. */
-  const missed = new Map<string, HeldEnd[]>()
+  const unmatchedEnds = new Map<string, HeldEnd[]>()
   let mayMissJobs = false
 
   /** The task is not placed any more; its phase changes next. */
-  const leave = (task: Task): void => {
+  const countUnplaced = (task: Task): void => {
     if (task.phase !== 'placed') return
     const { job } = task.step
     job.placed--
@@ -115,7 +115,7 @@
   }
 
   const makeReady = (task: Task): void => {
-    leave(task)
+    countUnplaced(task)
     task.phase = 'ready'
     task.targetId = undefined
     task.readySince = opts.now()
@@ -140,7 +140,7 @@
     job.outcome = outcome
     job.endedAtMs = opts.wallMs()
     open.delete(job)
-    timed.delete(job)
+    jobsNotFullyDue.delete(job)
     for (const task of tasksOf(job)) {
       ready.delete(task)
       if (task.phase === 'placed') opts.dropped(task)
@@ -152,7 +152,7 @@
   const markDone = (task: Task): void => {
     if (task.phase === 'done') return
     ready.delete(task)
-    leave(task)
+    countUnplaced(task)
     task.phase = 'done'
     const { step } = task
     step.doneCount++
@@ -169,7 +169,7 @@
   const failJob = (task: Task, run: number, cause: string): void => {
     // The end of an earlier run may use the attempts up while a later one runs elsewhere.
     if (task.phase === 'placed' && task.run !== run) opts.dropped(task)
-    leave(task)
+    countUnplaced(task)
     task.phase = 'failed'
     finish(task.step.job, 'failed', cause)
   }
@@ -202,12 +202,12 @@
   }
 
   /** Keeps an end until its job is known. */
-  function keepEnd(targetId: string, end: ReportedEnd): void {
+  function holdEnd(targetId: string, end: ReportedEnd): void {
     const id = jobIdOf(end.task)
-    const kept = held.get(id)
+    const kept = heldEnds.get(id)
     if (kept) return void kept.push({ targetId, end })
     if (!mayMissJobs || jobs.has(id)) return
-    missed.set(id, [...(missed.get(id) ?? []), { targetId, end }])
+    unmatchedEnds.set(id, [...(unmatchedEnds.get(id) ?? []), { targetId, end }])
   }
 
   const isDue = (occurrence: Occurrence): boolean => occurrence.dueAtMs <= opts.wallMs()
@@ -226,7 +226,7 @@
       jobs.set(spec.id, job)
       if (job.outcome) return job
       open.add(job)
-      timed.add(job)
+      jobsNotFullyDue.add(job)
       book.markDue()
       for (const { targetId, end } of book.release(spec.id)) book.applyEnd(targetId, end)
       return job
@@ -248,14 +248,14 @@
       opts.wake()
     },
     hold(id) {
-      if (jobs.has(id) || held.has(id)) return
-      held.set(id, missed.get(id) ?? [])
-      missed.delete(id)
+      if (jobs.has(id) || heldEnds.has(id)) return
+      heldEnds.set(id, unmatchedEnds.get(id) ?? [])
+      unmatchedEnds.delete(id)
     },
     release(id) {
-      const ends = [...(held.get(id) ?? []), ...(missed.get(id) ?? [])]
-      held.delete(id)
-      missed.delete(id)
+      const ends = [...(heldEnds.get(id) ?? []), ...(unmatchedEnds.get(id) ?? [])]
+      heldEnds.delete(id)
+      unmatchedEnds.delete(id)
       return ends
     },
     get mayMissJobs() {
@@ -263,15 +263,15 @@
     },
     set mayMissJobs(may) {
       mayMissJobs = may
-      if (!may) missed.clear()
+      if (!may) unmatchedEnds.clear()
     },
     isHeld(task) {
       const id = jobIdOf(task)
-      return held.has(id) || (mayMissJobs && !jobs.has(id))
+      return heldEnds.has(id) || (mayMissJobs && !jobs.has(id))
     },
     markDue() {
       let next: number | undefined
-      for (const job of timed) {
+      for (const job of jobsNotFullyDue) {
         let open = false
         for (const occurrence of job.occurrences) {
           if (occurrence.due) continue
@@ -283,7 +283,7 @@
           open = true
           next = Math.min(next ?? Infinity, occurrence.dueAtMs - opts.wallMs())
         }
-        if (!open) timed.delete(job)
+        if (!open) jobsNotFullyDue.delete(job)
       }
       return next
     },
@@ -303,7 +303,7 @@
       if (task.phase === 'placed' && !task.step.job.outcome) makeReady(task)
     },
     applyEnd(targetId, end) {
-      keepEnd(targetId, end)
+      holdEnd(targetId, end)
       const task = book.task(end.task)
       if (!task || task.step.job.outcome || task.phase === 'done') return undefined
       task.run = Math.max(task.run, end.run)
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -28,8 +28,8 @@
     const name = `${stepName}.${task.index}`
     if (task.failedRuns.size > 0) progress.failedRuns[name] = [...task.failedRuns]
     if (task.crashes.size > 0) progress.crashes[name] = [...task.crashes]
-    const idle = task.phase === 'ready' || task.phase === 'blocked'
-    if (idle && task.checkpoint !== '') progress.checkpoints[name] = task.checkpoint
+    const isIdle = task.phase === 'ready' || task.phase === 'blocked'
+    if (isIdle && task.checkpoint !== '') progress.checkpoints[name] = task.checkpoint
   }
 }
 
--- a/src/jobs/schema.ts
+++ b/src/jobs/schema.ts
@@ -8,7 +8,7 @@
  * Largest number of tasks over all repetitions: an owner keeps each of them in memory, about
  * 0.3 kB each, and a job of more would end each owner in turn.
  */
-const MAX_TASKS_OF_ALL_TIMES = 200_000
+const MAX_TASKS_OVER_REPETITIONS = 200_000
 /** Largest number of steps of one job. */
 const MAX_STEPS = 200
 /** Longest text that a job may pass to its tasks, in bytes. */
@@ -93,8 +93,8 @@
     tasks += step.count
   }
   if (tasks > MAX_TASKS_PER_JOB) return `more than ${MAX_TASKS_PER_JOB} tasks`
-  if (tasks * job.repetitions > MAX_TASKS_OF_ALL_TIMES) {
-    return `more than ${MAX_TASKS_OF_ALL_TIMES} tasks over all repetitions`
+  if (tasks * job.repetitions > MAX_TASKS_OVER_REPETITIONS) {
+    return `more than ${MAX_TASKS_OVER_REPETITIONS} tasks over all repetitions`
   }
   if (Buffer.byteLength(job.spec) > MAX_SPEC_BYTES) {
     return `spec is longer than ${MAX_SPEC_BYTES} bytes`
--- a/src/node/faceServices.ts
+++ b/src/node/endpointServices.ts
@@ -10,9 +10,9 @@
  * Time that a leaving node goes on answering, in ms: the platform sends new connections
  * until it has missed readiness twice, a second apart.
  */
-const DEPART_NOTICE_MS = 2500
+const DRAIN_NOTICE_MS = 2500
 /** Longest wait for requests in flight in a planned stop, in ms. */
-const CLOSE_WAIT_MS = 1000
+const CLOSE_TIMEOUT_MS = 1000
 
 /** Serves metrics. A node without them still works: the port may be taken. */
 export const metricsService = () =>
@@ -50,7 +50,7 @@
     async stop({ server }) {
       const closed = new Promise((resolve) => server.close(resolve))
       server.closeIdleConnections()
-      await Promise.race([closed, sleep(CLOSE_WAIT_MS)])
+      await Promise.race([closed, sleep(CLOSE_TIMEOUT_MS)])
       server.closeAllConnections()
     },
   })
@@ -85,7 +85,7 @@
       return {
         async depart() {
           state.leaving = true
-          await Promise.all([ownership.release(), sleep(DEPART_NOTICE_MS)])
+          await Promise.all([ownership.release(), sleep(DRAIN_NOTICE_MS)])
         },
       }
     },
--- a/src/node/fleetReports.ts
+++ b/src/node/fleetReports.ts
@@ -14,7 +14,7 @@
   const stopping = createStopController()
 
   /** Reports that are under way; an owner follows one answer at a time. */
-  const reporting = new Map<string, Promise<void>>()
+  const reportsInFlight = new Map<string, Promise<void>>()
 
   async function send(service: string): Promise<void> {
     const owner = owners.local.service(service)
@@ -26,10 +26,10 @@
   }
 
   function reportOne(service: string): Promise<void> {
-    const known = reporting.get(service)
+    const known = reportsInFlight.get(service)
     if (known) return known
-    const sent = send(service).finally(() => reporting.delete(service))
-    reporting.set(service, sent)
+    const sent = send(service).finally(() => reportsInFlight.delete(service))
+    reportsInFlight.set(service, sent)
     return sent
   }
 
--- a/src/node/index.ts
+++ b/src/node/index.ts
@@ -1,5 +1,5 @@
 /** `rillshunt-node`: everything that runs on an entry VM of the platform. */
 export * from './nodeServices.js'
 export * from './nodeMetrics.js'
-export * from './unavailable.js'
+export * from './waitForSettings.js'
 export type { NodePlatform } from './serviceMap.js'
--- a/src/node/nodeServices.ts
+++ b/src/node/nodeServices.ts
@@ -8,7 +8,7 @@
   departureService,
   metricsService,
   readinessService,
-} from './faceServices.js'
+} from './endpointServices.js'
 import {
   ownerCallsService,
   ownersService,
--- a/src/node/ownerServices.ts
+++ b/src/node/ownerServices.ts
@@ -87,12 +87,12 @@
       const configuration = get('configuration')
       const targets = get('targetSource')
       const owners = get('owners')
-      const parts = { cfg, platform, store, configuration, targets, owners, log }
+      const dependencies = { cfg, platform, store, configuration, targets, owners, log }
       return createOwnership({
         store,
         registry: get('registry'),
         names: () => ownedNames(configuration, platform.cloud !== undefined),
-        start: (authority) => startOwner(parts, authority),
+        start: (authority) => startOwner(dependencies, authority),
         log,
       })
     },
--- a/src/node/startOwner.ts
+++ b/src/node/startOwner.ts
@@ -12,7 +12,7 @@
 import type { NodePlatform } from './serviceMap.js'
 
 /** What owners of either kind work with. */
-export interface OwnerParts {
+export interface OwnerDependencies {
   cfg: NodeConfig
   platform: NodePlatform
   store: RowStore
@@ -22,8 +22,11 @@
   log: Logger
 }
 
-async function startFleet(parts: OwnerParts, authority: Authority): Promise<Owner> {
-  const { cfg, platform, store, configuration, owners, log } = parts
+async function startFleet(
+  dependencies: OwnerDependencies,
+  authority: Authority,
+): Promise<Owner> {
+  const { cfg, platform, store, configuration, owners, log } = dependencies
   const { cloud, documents } = platform
   if (!cloud) throw new KernelError('no cloud is configured')
   const fleet = createFleetOwner({
@@ -46,8 +49,11 @@
   }
 }
 
-async function startService(parts: OwnerParts, authority: Authority): Promise<Owner> {
-  const { platform, store, configuration, targets, owners, log } = parts
+async function startService(
+  dependencies: OwnerDependencies,
+  authority: Authority,
+): Promise<Owner> {
+  const { platform, store, configuration, targets, owners, log } = dependencies
   const { orders, cloud, advice } = platform
   const list = targets.acquire()
   await list.ready
@@ -75,10 +81,10 @@
 
 /** Starts the owner that an authority is for. */
 export async function startOwner(
-  parts: OwnerParts,
+  dependencies: OwnerDependencies,
   authority: Authority,
 ): Promise<Owner> {
-  parts.owners.claim(authority.service)
+  dependencies.owners.claim(authority.service)
   const start = authority.service === FLEET ? startFleet : startService
-  return start(parts, authority)
+  return start(dependencies, authority)
 }
--- a/src/node/storeRelay.ts
+++ b/src/node/storeRelay.ts
@@ -9,7 +9,7 @@
  * Peers that are asked at once who of them reaches the store. With a third of the nodes turned
  * away, one search in 27 finds none; each peer that is asked costs both ends about 1 ms.
  */
-const RELAY_CANDIDATES = 3
+const MAX_RELAY_CANDIDATES = 3
 
 /** Creates the relay through the nodes that the registry knows. */
 export function createStoreRelay(
@@ -18,7 +18,7 @@
   log: Logger,
 ): StoreRelay {
   return createPeerRelay({
-    peers: () => somePeers(registry),
+    peers: () => pickRandomPeers(registry),
     async send(address, call, timeoutMs) {
       const res = await clients.at(address).storeCall({ call }, { timeoutMs })
       return res.answer
@@ -28,13 +28,13 @@
 }
 
 /** Addresses of some other nodes, in another order each time. */
-function somePeers(registry: NodeRegistry): string[] {
+function pickRandomPeers(registry: NodeRegistry): string[] {
   const others = registry
     .members()
     .filter(({ id, leaving }) => id !== registry.self.id && !leaving)
     .map(({ address }) => ({ address, order: Math.random() }))
   return others
     .sort((a, b) => a.order - b.order)
-    .slice(0, RELAY_CANDIDATES)
+    .slice(0, MAX_RELAY_CANDIDATES)
     .map(({ address }) => address)
 }
--- a/src/node/unavailable.ts
+++ b/src/node/waitForSettings.ts
@@ -16,7 +16,7 @@
 /** When callers should come back, in seconds: somebody has to mend the settings. */
 const RETRY_AFTER_S = 30
 /** Time between two readings of the file, in ms: it may change without a signal. */
-const READ_AGAIN_MS = 1000
+const REREAD_INTERVAL_MS = 1000
 
 /** Waits for settings that can be used. */
 export interface SettingsWait {
@@ -37,9 +37,9 @@
     for (;;) {
       if (servers.length === 0)
         servers = listenAddresses(file).map((each) => serve503(each, reason, log))
-      await sleep(READ_AGAIN_MS, pause.signal)
-      const asked = pause.signal.aborted
-      if (asked) pause = createStopController()
+      await sleep(REREAD_INTERVAL_MS, pause.signal)
+      const isRetryRequested = pause.signal.aborted
+      if (isRetryRequested) pause = createStopController()
       const next = await loadNodeConfig(file)
       if (next.isOk()) {
         for (const server of servers) closeServer(server)
@@ -47,7 +47,7 @@
         return next.value
       }
       const { message } = next.error
-      if (asked || message !== lastReason)
+      if (isRetryRequested || message !== lastReason)
         log.event('settingsRejected', { file, reason: message })
       lastReason = message
     }
--- a/src/storeAccess/__tests__/lostCommits.spec.ts
+++ b/src/storeAccess/__tests__/lostCommits.spec.ts
@@ -16,7 +16,7 @@
 function startLossyStore(t: ExecutionContext, name: string) {
   const table = createRowTable()
   let commits = 0
-  const lose = (): void => {
+  const startLosing = (): void => {
     table.faults.lostMs = CALL_TIMEOUT_MS
     table.faults.random = () => (++commits % 3 === 0 ? 0 : 1)
     table.faults.lostShare = 0.5
@@ -24,7 +24,7 @@
   const log = createMemoryLogger()
   const access = createStoreAccess({ direct: table.forNode(name), log })
   t.teardown(access.stop)
-  return { table, store: access.store, lose, log }
+  return { table, store: access.store, lose: startLosing, log }
 }
 
 describe('store that loses answers to commits', () => {
--- a/src/storeAccess/circuitBreaker.ts
+++ b/src/storeAccess/circuitBreaker.ts
@@ -33,7 +33,7 @@
 
 /** A call that is under way. */
 interface Pending {
-  giveUp(reason: string): void
+  fail(reason: string): void
 }
 
 /** Whether the call was lost, perhaps with its connection. */
@@ -63,10 +63,10 @@
   let openSince: number | undefined
   let openReason = ''
   /** Calls that wait for the first probes after a connection broke. */
-  const waiting = new Set<() => void>()
+  const resumeWaiting = new Set<() => void>()
 
-  const giveUpPending = (reason: string): void => {
-    for (const each of [...pending]) each.giveUp(reason)
+  const failPending = (reason: string): void => {
+    for (const each of [...pending]) each.fail(reason)
   }
 
   /** Lets calls through again. */
@@ -76,8 +76,8 @@
     log.event('storeAnswers', { openMs, reason: openReason })
     openSince = undefined
     // What was sent while the store was silent will not be answered any more.
-    if (openReason === SILENT) giveUpPending('sent while the store was silent')
-    for (const proceed of [...waiting]) proceed()
+    if (openReason === SILENT) failPending('sent while the store was silent')
+    for (const proceed of [...resumeWaiting]) proceed()
   }
 
   /** Lets no calls through until a probe is answered. */
@@ -86,7 +86,7 @@
     openSince = monotonicMs()
     openReason = reason
     log.event('storeSilent', { pending: pending.size, reason })
-    if (reason === SILENT) giveUpPending('the store is silent')
+    if (reason === SILENT) failPending('the store is silent')
     void probe()
   }
 
@@ -98,11 +98,11 @@
     return new Promise((resolve) => {
       const proceed = (): void => {
         clearTimeout(timer)
-        waiting.delete(proceed)
+        resumeWaiting.delete(proceed)
         resolve()
       }
       const timer = setTimeout(proceed, waitMs)
-      waiting.add(proceed)
+      resumeWaiting.add(proceed)
     })
   }
 
@@ -137,7 +137,7 @@
         resolve(answer)
       }
       const each: Pending = {
-        giveUp: (reason) => finish(failedAnswer('unknown', reason, STORE_PLACE)),
+        fail: (reason) => finish(failedAnswer('unknown', reason, STORE_PLACE)),
       }
       pending.add(each)
       void call().then((answer) => {
--- a/src/storeAccess/commitLimit.ts
+++ b/src/storeAccess/commitTimeout.ts
@@ -9,10 +9,10 @@
 import { STORE_PLACE, failedAnswer, isAnswered } from './storeCall.js'
 
 /** Makes a commit; fails as `unknown` once its answer is missing. */
-export type CommitLimit = <T>(commit: () => StoreResult<T>) => StoreResult<T>
+export type CommitTimeout = <T>(commit: () => StoreResult<T>) => StoreResult<T>
 
 /** Creates the limit of one node. */
-export function createCommitLimit(): CommitLimit {
+export function createCommitTimeout(): CommitTimeout {
   const roundTrip = createRoundTrip({
     leastMs: MIN_COMMIT_WAIT_MS,
     mostMs: MAX_COMMIT_WAIT_MS,
--- a/src/storeAccess/constants.ts
+++ b/src/storeAccess/constants.ts
@@ -20,18 +20,18 @@
 /** Longest wait for a peer that makes a call for us: its own wait for the store, and the way. */
 export const RELAY_TIMEOUT_MS = 1000
 /** Longest wait for the first peer to say that it reaches the store: many round trips. */
-export const FIND_TIMEOUT_MS = 500
+export const PEER_PROBE_TIMEOUT_MS = 500
 /** A call waits so long for a peer to be found, then fails; callers are not held up. */
-export const FIND_WAIT_MS = 150
+export const PEER_SEARCH_WAIT_MS = 150
 /** Time between two searches for a peer. */
-export const FIND_PAUSE_MS = 400
+export const PEER_SEARCH_PAUSE_MS = 400
 /**
  * The same after searches that found none, each twice the last, up to here: the store is out
  * of reach for all of us. In an outage of 6 s, 92 nodes that asked six peers each every 0.4 s
  * used 79 s of processor time within 8 s, three times what they had used before it.
  */
-export const FIND_PAUSE_MAX_MS = 1600
+export const PEER_SEARCH_PAUSE_MAX_MS = 1600
 /** A peer does not wait for changes on our behalf; we wait so long before we ask. */
 export const RELAYED_POLL_MS = 300
 /** Time between two looks whether a peer was found: less than a round trip. */
-export const FIND_STEP_MS = 3
+export const PEER_SEARCH_POLL_MS = 3
--- a/src/storeAccess/pageSize.ts
+++ b/src/storeAccess/pageSize.ts
@@ -5,9 +5,9 @@
  */
 
 /** Time in which a page should come, in ms: a tenth of an owner's lease. */
-const PAGE_MS = 100
+const PAGE_TIME_MS = 100
 /** Rows of the first page of a table of which nothing is known. */
-const FIRST_ROWS = 16
+const FIRST_PAGE_ROWS = 16
 /** Fewest rows of a page. */
 const MIN_ROWS = 4
 /** Most rows of a page: the store gives no more. */
@@ -25,15 +25,15 @@
 /** Creates page sizes that know of no table yet. */
 export function createPageSizes(): PageSizes {
   const sizes = new Map<string, number>()
-  const rowsOf = (table: string): number => sizes.get(table) ?? FIRST_ROWS
+  const rowsOf = (table: string): number => sizes.get(table) ?? FIRST_PAGE_ROWS
   return {
     rowsOf,
     note(table, rows, tookMs) {
       const size = rowsOf(table)
       // A short page shows what time it takes, but not that a longer one would be quick.
       const isFull = rows >= size
-      if (!isFull && tookMs <= PAGE_MS) return
-      const fitting = Math.floor((Math.max(1, rows) * PAGE_MS) / Math.max(1, tookMs))
+      if (!isFull && tookMs <= PAGE_TIME_MS) return
+      const fitting = Math.floor((Math.max(1, rows) * PAGE_TIME_MS) / Math.max(1, tookMs))
       const next = Math.min(fitting, size * MAX_GROWTH, MAX_ROWS)
       sizes.set(table, Math.max(MIN_ROWS, next))
     },
--- a/src/storeAccess/peerRelay.ts
+++ b/src/storeAccess/peerRelay.ts
@@ -5,11 +5,11 @@
 import { describeError, monotonicMs, parseJson, sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import {
-  FIND_PAUSE_MAX_MS,
-  FIND_PAUSE_MS,
-  FIND_STEP_MS,
-  FIND_TIMEOUT_MS,
-  FIND_WAIT_MS,
+  PEER_SEARCH_PAUSE_MAX_MS,
+  PEER_SEARCH_PAUSE_MS,
+  PEER_SEARCH_POLL_MS,
+  PEER_PROBE_TIMEOUT_MS,
+  PEER_SEARCH_WAIT_MS,
   RELAY_TIMEOUT_MS,
 } from './constants.js'
 import type { StoreAccess, StoreRelay } from './storeAccess.js'
@@ -38,11 +38,11 @@
 export function createPeerRelay(opts: PeerRelayOptions): StoreRelay {
   const { log } = opts
   /** Address of the peer that serves now. */
-  let chosen: string | undefined
+  let currentPeer: string | undefined
   let search: Promise<void> | undefined
   let searchedAt = -Infinity
   /** Time to the next search; longer after each that found nobody. */
-  let pauseMs = FIND_PAUSE_MS
+  let pauseMs = PEER_SEARCH_PAUSE_MS
 
   async function ask(
     address: string,
@@ -59,39 +59,44 @@
   }
 
   /** Takes the first peer that shows that it reaches the store. */
-  async function find(): Promise<void> {
+  async function findPeer(): Promise<void> {
     searchedAt = monotonicMs()
     await Promise.all(
       opts.peers().map(async (address) => {
-        const answer = await ask(address, PROBE, FIND_TIMEOUT_MS)
-        if (answer.isErr() || chosen !== undefined) return
-        chosen = address
-        pauseMs = FIND_PAUSE_MS
+        const answer = await ask(address, PROBE, PEER_PROBE_TIMEOUT_MS)
+        if (answer.isErr() || currentPeer !== undefined) return
+        currentPeer = address
+        pauseMs = PEER_SEARCH_PAUSE_MS
         log.event('storePeerFound', { peer: address })
       }),
     )
-    if (chosen === undefined) pauseMs = Math.min(2 * pauseMs, FIND_PAUSE_MAX_MS)
+    if (currentPeer === undefined)
+      pauseMs = Math.min(2 * pauseMs, PEER_SEARCH_PAUSE_MAX_MS)
   }
 
-  const isSearching = (): boolean => chosen === undefined && search !== undefined
+  const isSearching = (): boolean => currentPeer === undefined && search !== undefined
 
   /** Resolves once a peer is known, or after a short wait. */
   async function ensurePeer(): Promise<void> {
-    if (chosen !== undefined) return
+    if (currentPeer !== undefined) return
     if (!search && monotonicMs() - searchedAt > pauseMs) {
-      search = find().finally(() => (search = undefined))
+      search = findPeer().finally(() => (search = undefined))
     }
-    const endsAt = monotonicMs() + FIND_WAIT_MS
-    while (isSearching() && monotonicMs() < endsAt) await sleep(FIND_STEP_MS)
+    const endsAt = monotonicMs() + PEER_SEARCH_WAIT_MS
+    while (isSearching() && monotonicMs() < endsAt) await sleep(PEER_SEARCH_POLL_MS)
   }
 
   return async (call) => {
     await ensurePeer()
-    const address = chosen
+    const address = currentPeer
     if (address === undefined) return undefined
     const answer = await ask(address, call, RELAY_TIMEOUT_MS)
-    if (answer.isErr() && answer.error.failure !== 'compacted' && chosen === address) {
-      chosen = undefined
+    if (
+      answer.isErr() &&
+      answer.error.failure !== 'compacted' &&
+      currentPeer === address
+    ) {
+      currentPeer = undefined
       log.event('storePeerLost', { peer: address, reason: describeError(answer.error) })
     }
     return answer
--- a/src/storeAccess/storeAccess.ts
+++ b/src/storeAccess/storeAccess.ts
@@ -7,7 +7,7 @@
 import { sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createCircuitBreaker } from './circuitBreaker.js'
-import { createCommitLimit } from './commitLimit.js'
+import { createCommitTimeout } from './commitTimeout.js'
 import { RELAYED_POLL_MS } from './constants.js'
 import { makeStoreCall } from './storeCall.js'
 import type { StoreAnswer, StoreCall } from './storeCall.js'
@@ -36,14 +36,14 @@
   const { direct, log } = opts
   const breaker = createCircuitBreaker({ ...opts, store: direct })
   direct.onBytes?.(breaker.noteBytes)
-  const limitCommit = createCommitLimit()
+  const withCommitTimeout = createCommitTimeout()
   let relay: StoreRelay | undefined
-  let relaying = false
+  let isRelaying = false
 
   const noteRelaying = (relays: boolean, reason: string): void => {
-    if (relays !== relaying)
+    if (relays !== isRelaying)
       log.event(relays ? 'storeRelayed' : 'storeDirect', { reason })
-    relaying = relays
+    isRelaying = relays
   }
 
   /** Whether the call has taken no effect and a peer may get through with it. */
@@ -69,7 +69,7 @@
 
   return {
     store: {
-      commit: (tx) => limitCommit(() => runAs({ method: 'commit', tx })),
+      commit: (tx) => withCommitTimeout(() => runAs({ method: 'commit', tx })),
       read: (table, part, range) => runAs({ method: 'read', table, part, range }),
       parts: (table) => runAs({ method: 'parts', table }),
       changes: (table, after, waitMs) =>
