--- a/src/jobs/crashes.ts
+++ b/src/jobs/crashes.ts
@@ -1,24 +1,31 @@
 /**
- * Counts target crashes per task, to isolate and eventually fail tasks that cause them. A crash
- * ends every run on the target, so a task counts as a likely cause only if its run began recently.
+ * Counts target crashes per task. Tasks that may cause crashes run in isolation, and fail after
+ * a number of crashes. A crash ends every run on the target, so a task counts as a likely cause
+ * only if its run began recently.
  */
 import type { Step, Task } from './job.js'
 import type { CrashRole } from './records.js'
 
-/** A task fails after this many crashes of which it is a likely cause, if enough are sole ones. */
+/**
+ * A task fails after this many crashes of which it is a likely cause, if `MIN_SOLE_CRASHES` of
+ * them have the role `sole`.
+ */
 const MAX_CRASHES = 3
-/** Crashes right after its start, with no other job as a likely cause, that are enough for that. */
+/** Crashes with the role `sole` that a task needs to fail at `MAX_CRASHES`. */
 const MIN_SOLE_CRASHES = 2
-/** A task fails after this many crashes of which it is a likely cause among others. */
+/** A task fails after this many crashes of which it is a likely cause, whatever their roles. */
 const MAX_SHARED_CRASHES = 5
 /** Crashes after which a task becomes a suspect even if it is a likely cause of none of them. */
 const MIN_PRESENT_CRASHES = 2
 /** Uptime from which a run counts as stable, in ms of the target's clock. */
 const STABLE_AFTER_MS = 100
-/** The same for a task that may crash its targets later than right after its start, in ms. */
+/** The same for a task that may crash its targets some time after its start, in ms. */
 export const LONG_STABLE_AFTER_MS = 2000
 
-/** The task that holds the crash count: for a gang, its first task, as members run together. */
+/**
+ * The task whose `crashes` hold the count: the task itself, or the first task of a gang, whose
+ * members run together.
+ */
 export const countedTask = (task: Task): Task =>
   task.step.spec.gang ? (task.step.tasks[0] ?? task) : task
 
@@ -72,14 +79,14 @@
 export const crashSuspectsOf = (tasks: Task[]): Task[] =>
   tasks.filter(isCrashSuspect).sort((a, b) => soleCrashes(b) - soleCrashes(a))
 
-/** Whether some crash of the task has no other job as a likely cause, so that it may well recur. */
+/** Whether some crash of the task has no other job as a likely cause, and so is likely to recur. */
 export const isSoleSuspect = (task: Task): boolean => soleCrashes(countedTask(task)) > 0
 
-/** Whether the step has such a suspect. */
+/** Whether the step has a suspect with such a crash. */
 export const hasSoleSuspect = ({ crashSuspects }: Step): boolean =>
   [...crashSuspects].some(isSoleSuspect)
 
-/** Whether a suspect of the step is placed; the next one must wait for it. */
+/** Whether a suspect of the step is placed; other suspects of the step wait until it ends. */
 export function hasSuspectRunning({ crashSuspects, tasks, spec }: Step): boolean {
   const isPlaced = ({ phase }: Task): boolean => phase === 'placed'
   if (spec.gang) return crashSuspects.size > 0 && tasks.some(isPlaced)
--- a/src/jobs/index.ts
+++ b/src/jobs/index.ts
@@ -1,4 +1,4 @@
-/** Jobs: what callers hand in, its rows, its state. */
+/** Jobs: the schema that callers submit, the rows in the store, and the state in memory. */
 export * from './schema.js'
 export * from './records.js'
 export * from './job.js'
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,11 +1,11 @@
-/** State of a job while its service's owner runs it. */
+/** State of a job in the memory of the owner of its service. */
 import { createJobDelays } from './jobDelays.js'
 import type { JobDelays } from './jobDelays.js'
 import type { CrashRole } from './records.js'
 import type { JobOutcome, JobSpec, JobStatus, StepSpec } from './schema.js'
 
 /**
- * Where a task stands. `blocked`: earlier steps or its due time are open. `ready`: may be
+ * Phase of a task. `blocked`: waits for earlier steps or for its due time. `ready`: may be
  * started. `placed`: a run was ordered and is not known to have ended.
  */
 export type TaskPhase = 'blocked' | 'ready' | 'placed' | 'done' | 'failed'
@@ -27,9 +27,9 @@
   checkpoint: string
   /** Target of the present run. */
   targetId: string | undefined
-  /** Steady time of the start order, in ms. */
+  /** Time of the start order, in ms of the monotonic clock. */
   startedAt: number
-  /** Steady time since which the task may start, in ms. */
+  /** Time since which the task may start, in ms of the monotonic clock. */
   readySince: number
 }
 
@@ -49,7 +49,7 @@
 /** One repetition of a job's steps. */
 export interface Occurrence {
   number: number
-  /** Due time, in ms since 1970; 0 for at once. */
+  /** Due time, in ms since 1970; 0 to start at once. */
   dueAtMs: number
   due: boolean
   steps: Step[]
@@ -61,33 +61,33 @@
   spec: JobSpec
   occurrences: Occurrence[]
   openOccurrences: number
-  /** Whether a run of a task has begun, as a target has said; an order alone is no run. */
+  /** Whether a target has reported that a run of a task began; a start order is not enough. */
   begun: boolean
   cancelRequested: boolean
   outcome: JobOutcome | undefined
   endedAtMs: number | undefined
-  /** Outcome that the store holds; only this one may be shown. */
+  /** Outcome that the store holds; callers are shown only this one. */
   durableOutcome: JobOutcome | undefined
   /** Version of the progress row; 0 while there is none. */
   progressVersion: number
-  /** Tasks must wait until the runs of the previous owner are known. */
+  /** Whether tasks must not start yet, because the runs of the previous owner are not known. */
   gated: boolean
-  /** Steady time at which its owner took it on, in ms. */
+  /** Time at which this owner added the job, in ms of the monotonic clock. */
   arrivedAt: number
-  /** Tasks that are placed. */
+  /** Number of placed tasks. */
   placed: number
-  /** Steady time since which no task is placed, in ms; means nothing while one is. */
+  /** Time since which no task is placed, in ms of the monotonic clock; valid if `placed` is 0. */
   idleSince: number
-  /** What has delayed it so far. */
+  /** Longest delays so far. */
   delays: JobDelays
 }
 
-/** What the job book needs of a queue's configuration. */
+/** The settings of a queue that the job book uses. */
 export interface JobRules {
   maxAttempts: number
 }
 
-/** Makes the state of a job that has not begun. Nothing is due yet. */
+/** Creates the state of a job that has not begun; none of its occurrences is due. */
 export function createJob(spec: JobSpec, arrivedAt: number): Job {
   const job: Job = {
     spec,
@@ -149,7 +149,7 @@
   return step
 }
 
-/** Finds a task by its full name. */
+/** Finds a task by its full name, `JOB.OCCURRENCE.STEP.INDEX`. */
 export function findTask(job: Job, name: string): Task | undefined {
   const [, occurrence, step, index] = name.split('.')
   return job.occurrences[Number(occurrence)]?.steps[Number(step)]?.tasks[Number(index)]
@@ -176,7 +176,7 @@
   return step !== undefined && step.doneCount === step.tasks.length
 }
 
-/** The state that a caller may be shown. An outcome counts once it is durable. */
+/** State of a job as shown to callers. An outcome is shown once it is durable. */
 export function statusOf(job: Job): JobStatus {
   if (job.durableOutcome) return job.durableOutcome
   if (job.cancelRequested) return 'cancelled'
--- a/src/jobs/jobBook.ts
+++ b/src/jobs/jobBook.ts
@@ -1,7 +1,7 @@
 /**
- * The jobs of one service and what happens to them: what may start, what an end means,
- * when a job is over. It orders nothing itself; `changed` tells that a job must be
- * written, `dropped` that a run must be stopped.
+ * State machine for the jobs of one service: decides which tasks may start, how the end of a
+ * run changes its task, and when a job reaches its outcome. It sends no orders and writes no
+ * rows; the callbacks `dropped` and `changed` ask for that.
  */
 import type { ReportedEnd, RunEndKind } from '../ports/index.js'
 import { addCrash, noteUptime } from './crashes.js'
@@ -12,21 +12,21 @@
 import type { CrashRole, Progress } from './records.js'
 import type { JobOutcome, JobSpec } from './schema.js'
 
-/** What the book asks, and whom it tells. */
+/** Settings, clocks and callbacks of a job book. */
 export interface JobBookOptions {
-  /** Attempts of a queue's tasks, as configured now. */
+  /** The present settings of a queue. */
   rulesOf(queue: string): JobRules
-  /** Steady clock, in ms. */
+  /** Monotonic clock, in ms. */
   now(): number
   /** Wall clock, in ms since 1970. */
   wallMs(): number
-  /** A job's progress has changed. */
+  /** Called when a job's progress has changed and its row must be written. */
   changed(job: Job): void
-  /** A placed run of the task is not wanted any more. */
+  /** Called when a placed run of the task is no longer needed and must be stopped. */
   dropped(task: Task): void
-  /** Something may be startable. */
+  /** Called when tasks may have become startable. */
   wake(): void
-  /** An outcome was reached. */
+  /** Called when a job reaches its outcome, before the outcome is durable. */
   ended(job: Job, outcome: JobOutcome, cause: string): void
 }
 
@@ -34,43 +34,46 @@
 export interface JobBook {
   readonly jobs: ReadonlyMap<string, Job>
   /**
-   * Those without an outcome. Finished jobs are kept for minutes, so that looking through all
-   * of them at each new job took an owner 5 % of its time (165 of 3080 ms, 400 jobs).
+   * Jobs without an outcome. Finished jobs stay in `jobs` for minutes; iterating over all of
+   * them at each new job takes an owner with 400 jobs 5 % of its time (165 of 3080 ms).
    */
   readonly open: ReadonlySet<Job>
-  /** Tasks that may start now, in no order. */
+  /** Tasks that may start now, in no particular order. */
   ready: ReadonlySet<Task>
-  /** Takes a job on; one that is known stays as it is. */
+  /** Adds a job; a job that is already in the book is returned unchanged. */
   add(
     spec: JobSpec,
     opts?: { progress?: Progress; version?: number; gated?: boolean },
   ): Job
-  /** Undefined when the job is not known. */
+  /** Cancels a job; returns undefined if it is not in the book. */
   cancel(id: string): Job | undefined
-  /** Tells that the runs of the previous owner are known: of all jobs, or of one. */
+  /** Lets gated tasks start, of one job or of all: the previous owner's runs are known now. */
   openGate(only?: Job): void
-  /** Keeps the ends of a job that is there and cannot be taken on, until it is added. */
+  /** Keeps reported ends of a job that exists but cannot be added yet, until it is added. */
   hold(id: string): void
-  /** The job is not waited for any more; returns the ends that were kept. */
+  /** Stops holding a job; returns the ends that were kept. */
   release(id: string): HeldEnd[]
   /**
-   * Whether jobs that are not known may be there all the same, because not all rows have been
-   * read. While they may, each of them counts as held.
+   * Whether jobs may exist that are not in the book, because not all rows have been read.
+   * Meanwhile every job that is not in the book counts as held.
    */
   mayMissJobs: boolean
-  /** Whether the task is of a job that is held. */
+  /** Whether the job of the task is held. */
   isHeld(task: string): boolean
-  /** Marks occurrences whose due time has come; returns ms until the next one. */
+  /** Marks occurrences that have become due; returns the time until the next one, in ms. */
   markDue(): number | undefined
-  /** A start was ordered. */
+  /** Records that a start was ordered. */
   place(task: Task, targetId: string, run: number): void
-  /** A target has said that a run of the task has begun. */
+  /** Records that a target has reported the beginning of a run of the task. */
   noteBegun(task: Task): void
-  /** A start did not take place; the task may start again. */
+  /** Records that an ordered start did not take place; the task becomes ready again. */
   unplace(task: Task): void
-  /** Takes note of a reported end. Returns the task when it was its present run. */
+  /**
+   * Applies a reported end of a run. Returns its task, or undefined if the task is not in the
+   * book, is already done, or belongs to a job that has an outcome.
+   */
   applyEnd(targetId: string, end: ReportedEnd): Task | undefined
-  /** A run ended without the target's word: its target is gone or its lease is over. */
+  /** Records that a run ended without a report: its target is gone or its lease has expired. */
   runVanished(task: Task): void
   /**
    * Records that the target crashed during a run of the task. Fails the job when the task reaches
@@ -79,16 +82,16 @@
   noteCrash(task: Task, run: number, role: CrashRole): void
   /** Records the confirmed uptime of a run of the task, in ms. */
   noteUptime(task: Task, ms: number): void
-  /** Accepted jobs of a queue none of whose tasks has begun. */
+  /** Number of open jobs of a queue, without repetitions, none of whose tasks has begun. */
   waiting(queue: string): number
   remove(id: string): void
   task(name: string): Task | undefined
 }
 
-/** Ends of runs that rule out a crash of the target. */
+/** Kinds of run ends that rule out a crash of the target. */
 const NON_CRASH_ENDS: ReadonlySet<RunEndKind> = new Set(['done', 'failed'])
 
-/** An end of a task whose job is not in the book yet. */
+/** A reported end of a task whose job is not in the book yet. */
 interface HeldEnd {
   targetId: string
   end: ReportedEnd
@@ -100,13 +103,13 @@
   const open = new Set<Job>()
   const ready = new Set<Task>()
   const jobsNotFullyDue = new Set<Job>()
-  /** Ends of jobs that are held, by id of the job. */
+  /** Reported ends of held jobs, by job id. */
   const heldEnds = new Map<string, HeldEnd[]>()
-  /** Ends of jobs that are not known, while some may be missed; by id of the job. */
+  /** Reported ends of jobs that are not in the book, while `mayMissJobs`; by job id. */
   const unmatchedEnds = new Map<string, HeldEnd[]>()
   let mayMissJobs = false
 
-  /** The task is not placed any more; its phase changes next. */
+  /** Removes the task from its job's count of placed tasks; the caller then sets its phase. */
   const countUnplaced = (task: Task): void => {
     if (task.phase !== 'placed') return
     const { job } = task.step
@@ -167,14 +170,14 @@
 
   /** Fails the task and its job because of a run of the task. */
   const failJob = (task: Task, run: number, cause: string): void => {
-    // The end of an earlier run may use the attempts up while a later one runs elsewhere.
+    // The end of an earlier run may use up the attempts while a later run is on another target.
     if (task.phase === 'placed' && task.run !== run) opts.dropped(task)
     countUnplaced(task)
     task.phase = 'failed'
     finish(task.step.job, 'failed', cause)
   }
 
-  /** Counts a failed run; ends the job when its attempts are used up. */
+  /** Counts a failed run; fails the job when the task has used up its attempts. */
   const countFailure = (task: Task, run: number): void => {
     const { job, spec, tasks } = task.step
     if (spec.lasting) return
@@ -185,7 +188,7 @@
     failJob(task, run, `${task.name} failed ${counted.failedRuns.size} times`)
   }
 
-  /** A gang shares its end: members that still wait or run are done with it. */
+  /** The tasks that a `done` end completes: all members of a gang, otherwise the task itself. */
   const gangMembers = (task: Task): Task[] =>
     task.step.spec.gang ? task.step.tasks : [task]
 
@@ -201,7 +204,7 @@
     alone: makeReady,
   }
 
-  /** Keeps an end until its job is known. */
+  /** Keeps an end until its job is added. */
   function holdEnd(targetId: string, end: ReportedEnd): void {
     const id = jobIdOf(end.task)
     const kept = heldEnds.get(id)
@@ -309,7 +312,7 @@
       task.run = Math.max(task.run, end.run)
       book.noteBegun(task)
       if (NON_CRASH_ENDS.has(end.kind)) book.noteUptime(task, Infinity)
-      // A run that ended done counts even when another run of the task was placed since.
+      // A run that completes the task counts even if another run has been placed since.
       if (end.kind === 'done' && !task.step.spec.lasting) {
         if (task.phase === 'placed' && task.targetId !== targetId) opts.dropped(task)
         END_HANDLERS.done(task)
--- a/src/jobs/jobDelays.ts
+++ b/src/jobs/jobDelays.ts
@@ -1,23 +1,23 @@
-/** Where the time of a job went beyond the runs of its tasks. */
+/** Delays of a job apart from the run time of its tasks. */
 
 /** The longest delays among a job's tasks. */
 export interface JobDelays {
-  /** Wait of a task for a target, in ms. */
+  /** Time that a ready task waited for a target, in ms. */
   waitedMs: number
-  /** From the order to start a task until what became of it was known, in ms. */
+  /** Time from a start order until its result was known, in ms. */
   startMs: number
-  /** Starts that the target left unanswered. */
+  /** Number of start orders that the target did not answer. */
   unanswered: number
   /** Silence of a target before it reported the end of a task, in ms. */
   unheardMs: number
 }
 
-/** No delay. */
+/** Creates delays that are all zero. */
 export function createJobDelays(): JobDelays {
   return { waitedMs: 0, startMs: 0, unanswered: 0, unheardMs: 0 }
 }
 
-/** Notes a delay where it is the longest of its kind. */
+/** Records a delay, in ms, if it is the longest of its kind. */
 export function noteDelay(
   delays: JobDelays,
   kind: Exclude<keyof JobDelays, 'unanswered'>,
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,15 +1,15 @@
-/** The progress row of a job: written from its state, and its state from it. */
+/** Converts between a job's state and its progress row. */
 import { addCrash } from './crashes.js'
 import { isStepDone } from './job.js'
 import type { Job, Step } from './job.js'
 import type { Progress } from './records.js'
 
-/** The progress row of a job. */
+/** Encodes the progress row of a job. */
 export function encodeProgress(job: Job): string {
   const progress: Progress = { done: {}, failedRuns: {}, crashes: {}, checkpoints: {} }
   if (job.outcome) progress.outcome = job.outcome
   if (job.endedAtMs !== undefined) progress.endedAtMs = job.endedAtMs
-  // A finished job needs no details: nothing of it is started again.
+  // No task of a finished job is started again, so its row needs no details.
   if (job.outcome) return JSON.stringify(progress)
   for (const occurrence of job.occurrences) {
     for (const step of occurrence.steps) addStepProgress(progress, step)
@@ -33,7 +33,7 @@
   }
 }
 
-/** Brings a new job's state to what a progress row says. */
+/** Sets the state of a newly created job from its progress row. */
 export function restoreProgress(job: Job, progress: Progress): void {
   job.outcome = progress.outcome
   job.durableOutcome = progress.outcome
@@ -58,7 +58,7 @@
     if (done === 'all' || done?.includes(task.index)) {
       task.phase = 'done'
       step.doneCount++
-      // A done task left as a suspect would keep the other tasks of its step from starting.
+      // A done task that remained a suspect would keep the other tasks of its step from starting.
       step.crashSuspects.delete(task)
     }
   }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,6 +1,6 @@
 /**
- * Rows of jobs in the store. An intake row, one per job, is written by the entry that
- * accepts it; a progress row by the owner of the job's service.
+ * Rows of jobs in the store. The entry that accepts a job writes its intake row; the owner of
+ * the job's service writes its progress row.
  */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -10,74 +10,74 @@
 import type { JobSpec, JobStatus } from './schema.js'
 import { parseJson } from '../shared/index.js'
 
-/** Accepted jobs that are not over, and requests to cancel them, in several parts a queue. */
+/** Table of unfinished jobs and of requests to cancel them, in several parts per queue. */
 export const INTAKE_TABLE = 'intake'
 /**
- * What is kept of jobs that are over; a job's row moves there from the intake, in one
- * transaction. A takeover reads the intake whole: with all jobs of the last three minutes
- * in it, five new owners on links of 1.4 Mbit/s read for 6 s and more, gave up and began anew.
+ * Table of finished jobs; one transaction moves a job's row here from the intake. A takeover
+ * reads the whole intake: with all jobs of the last three minutes in it, five new owners on
+ * links of 1.4 Mbit/s read for 6 s and more, give up and start again.
  */
 export const ENDED_TABLE = 'ended'
-/** Progress of jobs; the part is the service, as for the owner's epoch. */
+/** Table of job progress; the part is the service, as for the owner's epoch. */
 export const PROGRESS_TABLE = 'progress'
-/** Ends the key of a request to cancel; sorts right behind the job's own key. */
+/** Suffix of the key of a request to cancel; such a key sorts right after the job's key. */
 const CANCEL_SUFFIX = '.cancel'
 
 /**
- * Parts of the intake of one queue. The store writes a part one transaction after another:
- * slowed 60 times, one part took 3 jobs a second, where a queue's peak brings 20 to 40.
+ * Number of intake parts per queue. The store runs the transactions of a part one at a time:
+ * slowed 60 times it accepts 3 jobs a second in one part, while a queue's peak brings 20 to 40.
  */
 const INTAKE_PARTS = 8
 
-/** The part of a job's rows; ids are random, so the jobs of a queue spread evenly. */
+/** The part of a job's rows. Ids are random, so the jobs of a queue spread evenly over parts. */
 function intakePart(queue: string, id: string): string {
   const last = id.charCodeAt(id.length - 1) || 0
   return `${queue}/${last % INTAKE_PARTS}`
 }
 
-/** The queue whose jobs lie in a part of the intake. */
+/** The queue that a part of the intake belongs to. */
 export const queueOfPart = (part: string): string => part.slice(0, part.lastIndexOf('/'))
 
-/** Where a job's intake row lies. */
+/** Key of a job's intake row. */
 export const intakeKey = (queue: string, id: string): RowKey => ({
   table: INTAKE_TABLE,
   part: intakePart(queue, id),
   key: id,
 })
-/** Where the request to cancel a job lies: in the part of the job's row. */
+/** Key of the request to cancel a job, in the same part as the job's intake row. */
 export const cancelKey = (queue: string, id: string): RowKey => ({
   table: INTAKE_TABLE,
   part: intakePart(queue, id),
   key: id + CANCEL_SUFFIX,
 })
-/** Where the row of a job that is over lies: in the part of its intake row. */
+/** Key of the row of a finished job, in the part of the same name as its intake row. */
 export const endedKey = (queue: string, id: string): RowKey => ({
   table: ENDED_TABLE,
   part: intakePart(queue, id),
   key: id,
 })
-/** Where a job's progress row lies. */
+/** Key of a job's progress row. */
 export const progressKey = (service: string, id: string): RowKey => ({
   table: PROGRESS_TABLE,
   part: service,
   key: id,
 })
 
-/** Where a row lies within its table. */
+/** Position of a row within its table. */
 type PartAndKey = Pick<RowKey, 'part' | 'key'>
 
-/** What a row of the intake table says. */
+/** A decoded row of the intake table. */
 export type IntakeRow =
   | { kind: 'job'; id: string; job: JobSpec }
   | { kind: 'cancel'; id: string }
   | { kind: 'invalid'; id: string; reason: string }
 
-/** The intake row of a job. */
+/** Encodes the intake row of a job. */
 export function encodeJob(job: JobSpec): string {
   return JSON.stringify(job)
 }
 
-/** The job that a row brings; the error says why it is none. */
+/** Decodes a job; the error says why the row holds no valid job. */
 function decodeJob(row: PartAndKey, value: string): Result<JobSpec, string> {
   const json = parseJson(value)
   if (json === undefined) return err('not JSON')
@@ -85,14 +85,14 @@
   if (!parsed.success) return err(z.prettifyError(parsed.error))
   const { id, queue } = parsed.data
   if (id !== row.key || intakePart(queue, id) !== row.part)
-    return err('a job of another row')
+    return err('id or queue of the job does not match the key of the row')
   const problem = describeJobProblem(parsed.data)
   return problem === undefined ? ok(parsed.data) : err(problem)
 }
 
 /**
- * Reads a row of the intake table. What no caller could have handed in is not a job: taken
- * on, it would end its owner, or run beside the job whose id it bears.
+ * Decodes a row of the intake table. A job that no caller could have submitted is invalid: it
+ * could crash its owner, or run in addition to the job whose id it has.
  */
 export function decodeIntake(row: PartAndKey, value: string): IntakeRow {
   const { key } = row
@@ -105,7 +105,7 @@
   )
 }
 
-/** What is kept of a job that is over. */
+/** Row of a finished job. */
 const endedSchema = z.object({
   queue: z.string(),
   service: z.string(),
@@ -115,20 +115,20 @@
   /** When the outcome was reached, by the wall clock of the owner; for clearing rows. */
   endedAtMs: z.number(),
 })
-/** What the row of a job that is over says. */
+/** A decoded row of a finished job. */
 export type EndedJob = z.infer<typeof endedSchema>
 
-/** The row of a job that is over. */
+/** Encodes the row of a finished job. */
 export function encodeEnded(ended: EndedJob): string {
   return JSON.stringify(ended)
 }
 
-/** Reads the row of a job that is over; undefined when it has the wrong shape. */
+/** Decodes the row of a finished job; undefined if it has the wrong shape. */
 export function decodeEnded(value: string): EndedJob | undefined {
   return endedSchema.safeParse(parseJson(value)).data
 }
 
-/** Most failed runs of one task in a row: far more than any queue allows attempts. */
+/** Most failed runs of one task that a row may list: far more than the attempts of any queue. */
 const MAX_FAILED_RUNS = 10_000
 
 /**
@@ -141,11 +141,11 @@
 /** Role of a run in the crash of its target. */
 export type CrashRole = z.infer<typeof crashRoleSchema>
 
-/** Progress of one job. Tasks are named by `OCCURRENCE.STEP.INDEX`. */
+/** Progress row of one job. Tasks are named `OCCURRENCE.STEP.INDEX`. */
 const progressSchema = z.object({
-  /** Done tasks by `OCCURRENCE.STEP`; `all` when the whole step is done. */
+  /** Indices of done tasks by `OCCURRENCE.STEP`; `all` if the whole step is done. */
   done: z.record(z.string(), z.union([z.literal('all'), z.array(z.int().min(0))])),
-  /** Numbers of failed runs by task: counted once, however often an end is reported. */
+  /** Numbers of failed runs by task, so that an end that is reported again counts once. */
   failedRuns: z.record(z.string(), z.array(z.int().min(0)).max(MAX_FAILED_RUNS)),
   /** Target crashes by task: run number and role of the run. */
   crashes: z
@@ -160,16 +160,16 @@
   /** When the outcome was reached, by the wall clock of the owner; for clearing rows. */
   endedAtMs: z.number().optional(),
 })
-/** What a progress row says. */
+/** A decoded progress row. */
 export type Progress = z.infer<typeof progressSchema>
 
-/** Reads a progress row; undefined when it has the wrong shape. */
+/** Decodes a progress row; undefined if it has the wrong shape. */
 export function decodeProgress(value: string): Progress | undefined {
   const parsed = progressSchema.safeParse(parseJson(value))
   return parsed.success ? parsed.data : undefined
 }
 
-/** State of a job by its rows alone. */
+/** State of a job derived from its rows alone. */
 export function storedStatus(
   cancelled: boolean,
   progress: Progress | undefined,
--- a/src/jobs/schema.ts
+++ b/src/jobs/schema.ts
@@ -1,15 +1,15 @@
-/** What a caller hands in: a job of steps, each of equal tasks. */
+/** Schema of the jobs that callers submit: a job has steps, and each step has equal tasks. */
 import { z } from 'zod'
 import { idSchema } from '../shared/index.js'
 
-/** Largest number of tasks of one job over all steps: keeps one caller from filling a node. */
+/** Most tasks of one job over all steps, so that one caller cannot exhaust a node. */
 const MAX_TASKS_PER_JOB = 20_000
 /**
- * Largest number of tasks over all repetitions: an owner keeps each of them in memory, about
- * 0.3 kB each, and a job of more would end each owner in turn.
+ * Most tasks of one job over all repetitions. An owner keeps each of them in memory, at about
+ * 0.3 kB; a larger job would crash its owner, and then each successor.
  */
 const MAX_TASKS_OVER_REPETITIONS = 200_000
-/** Largest number of steps of one job. */
+/** Most steps of one job. */
 const MAX_STEPS = 200
 /** Longest text that a job may pass to its tasks, in bytes. */
 const MAX_SPEC_BYTES = 4000
@@ -21,55 +21,55 @@
   cpu: z.number().int().min(0).default(0),
   memMb: z.number().int().min(0).default(0),
   gpu: z.number().int().min(0).default(0),
-  /** The caller's guess of a task's run time, in ms; often far off. */
+  /** The caller's estimate of a task's run time, in ms; often inaccurate. */
   estimateMs: z.number().min(0).default(0),
-  /** Earlier steps that must be done first. */
+  /** Indices of earlier steps that must be done first. */
   after: z.array(z.number().int().min(0)).default([]),
   checkpoints: z.boolean().default(false),
-  /** Tasks only work together: all start as one run, and one end counts for all. */
+  /** Tasks work only together: all start as one run, and one end counts for all of them. */
   gang: z.boolean().default(false),
-  /** A gang that spans racks runs slower. */
+  /** Whether a gang runs slower if it spans racks. */
   sameRack: z.boolean().default(false),
   /** Label that a target must have; empty for any. */
   label: z.string().default(''),
   /** Rack that holds the data; empty for none. */
   dataRack: z.string().default(''),
-  /** Most tasks of the step on one target; 0 for no bound. */
+  /** Most tasks of the step on one target; 0 for no limit. */
   maxPerTarget: z.number().int().min(0).default(0),
-  /** Copies of a task may run at the same time; the first end counts. */
+  /** Whether copies of a task may run at the same time; the first end counts. */
   duplicates: z.boolean().default(false),
-  /** Tasks run until the job is cancelled and are started again when they end. */
+  /** Whether tasks run until the job is cancelled, and are restarted when they end. */
   lasting: z.boolean().default(false),
-  /** Tasks of one image behave alike; empty when unknown. */
+  /** Image of the tasks; tasks of one image behave alike. Empty if unknown. */
   image: z.string().default(''),
-  /** Tail latency that a serving task should stay below, in ms; 0 for none. */
+  /** Tail latency below which a serving task should stay, in ms; 0 for no limit. */
   tailMs: z.number().min(0).default(0),
-  /** Tasks use only processor time that others leave; their `cpu` takes no room. */
+  /** Whether tasks use only processor time that others leave idle; `cpu` then takes no capacity. */
   fills: z.boolean().default(false),
-  /** Tasks of a lasting step that may be away at the same time through our doing. */
+  /** Most tasks of a lasting step that the system itself may interrupt at the same time. */
   mayMiss: z.number().int().min(0).optional(),
 })
 /** One step of a job. */
 export type StepSpec = z.infer<typeof stepSchema>
 
 /** Names of tasks begin with the job's id and a dot. */
-const jobIdSchema = idSchema.regex(/^[^.]+$/, 'an id has no dot')
+const jobIdSchema = idSchema.regex(/^[^.]+$/, 'a job id must not contain a dot')
 
 /** An accepted job. */
 export const jobSchema = z.object({
   id: jobIdSchema,
   queue: z.string(),
-  /** Service whose targets run it, as configured when it was accepted. */
+  /** Service whose targets run the job, as configured when the job was accepted. */
   service: z.string(),
   /** Text passed to every task. */
   spec: z.string(),
   steps: z.array(stepSchema).min(1).max(MAX_STEPS),
-  /** How often the steps run; 0 stands for once, at once. */
+  /** Number of times that the steps run; 0 runs them once, without waiting for a due time. */
   repetitions: z.number().int().min(0).default(0),
   /** Due time of the first repetition, in ms since 1970. */
   startAtMs: z.number().default(0),
   intervalMs: z.number().min(0).default(0),
-  /** When it was accepted, by the wall clock of the accepting node. */
+  /** Time of acceptance, in ms since 1970 by the wall clock of the accepting node. */
   acceptedAtMs: z.number().default(0),
 })
 /** An accepted job. */
@@ -78,12 +78,12 @@
 /** State of a job as callers see it. */
 export type JobStatus = 'queued' | 'running' | 'completed' | 'failed' | 'cancelled'
 
-/** Final states; none of them changes again. */
+/** Final states; a job never leaves them. */
 export const outcomeSchema = z.enum(['completed', 'failed', 'cancelled'])
 /** A final state. */
 export type JobOutcome = z.infer<typeof outcomeSchema>
 
-/** Says what is wrong with a job, or undefined when it can be accepted. */
+/** Describes why a job cannot be accepted; undefined if it can. */
 export function describeJobProblem(job: JobSpec): string | undefined {
   let tasks = 0
   for (const [index, step] of job.steps.entries()) {
