--- a/src/front/index.ts
+++ b/src/front/index.ts
@@ -1,4 +1,4 @@
-/** What callers reach: jobs, and the nodes behind them. */
+/** Front end of a node: job requests of callers, and calls to the owners on other nodes. */
 export * from './jobService.js'
 export * from './nodeClients.js'
 export * from './ownerCalls.js'
--- a/src/front/jobService.ts
+++ b/src/front/jobService.ts
@@ -1,6 +1,6 @@
 /**
- * What callers may ask of jobs. A job is accepted once its row is durable; whoever owns
- * its service then runs it. "Not known" is only said on a fresh reading of the store.
+ * Requests of callers about jobs. A job is accepted once its row is durable; the owner of its
+ * service then runs it. A job is reported as unknown only after a fresh read of the store.
  */
 import type { ConfigurationHolder } from '../directory/index.js'
 import {
@@ -40,37 +40,39 @@
 } from './storedJobs.js'
 import type { Answer } from './storedJobs.js'
 
-/** A configuration older than this may lack a queue that exists: half of what is allowed, in ms. */
+/**
+ * Age from which the configuration may lack a queue that exists, in ms: half of the allowed age.
+ */
 const CONFIGURATION_STALE_MS = 1800
 
 /**
- * Time in which it is found out what became of a write that went unanswered, in ms. Without
- * an answer a caller may not know whether to ask again; half of the usual deadline of 3 s.
+ * Time for which a commit of unknown outcome is repeated, in ms: half of a caller's usual
+ * deadline of 3 s. A caller without an answer does not know whether to send the job again.
  */
 const UNKNOWN_COMMIT_TIMEOUT_MS = 1500
-/** Time between two such writes at least, in ms; jittered. */
+/** Shortest time between two such commits, in ms; jittered. */
 const UNKNOWN_COMMIT_RETRY_MS = 100
 
-/** Outcome of a question for a queue by host and path. */
+/** Result of looking up a queue by host and path. */
 export type QueueMatch =
   | { kind: 'found'; queue: Queue; rest: string }
   | { kind: 'unknown' }
-  /** No configuration, or one that is too old or too little of it was read to deny a queue. */
+  /** There is no configuration, or it is too old or too incomplete to rule the queue out. */
   | { kind: 'notReady'; retryAfterMs: number }
 
-/** What became of a job that a caller handed in. */
+/** Result of submitting a job. */
 export type SubmitResult =
   | { kind: 'accepted' }
   | { kind: 'invalid'; reason: string }
-  /** It has not been kept and never runs. */
+  /** The job was not stored and never runs. */
   | { kind: 'refused'; retryAfterMs: number; reason: string }
-  /** It may have been kept; the caller sends it again. */
+  /** The job may have been stored; the caller should send it again. */
   | { kind: 'uncertain'; reason: string }
 
-/** A job as a caller hands it in. */
+/** A job as a caller submits it. */
 export type NewJob = Omit<JobSpec, 'queue' | 'service' | 'acceptedAtMs'>
 
-/** What callers may ask. */
+/** Requests of callers. */
 export interface JobService {
   match(host: string, path: string): QueueMatch
   submit(queue: Queue, job: NewJob): Promise<SubmitResult>
@@ -79,7 +81,7 @@
   waiting(queue: Queue): Promise<Answer<number>>
 }
 
-/** What the answers rest on. */
+/** Dependencies of the job service. */
 export interface JobServiceOptions {
   store: RowStore
   configuration: ConfigurationHolder
@@ -88,28 +90,29 @@
 }
 
 /**
- * Version of the row that makes the job durable: written now, or by an earlier try that
- * went unanswered. Undefined when an earlier request of the caller has written it.
+ * Version of the row that makes the job durable, written by this commit or by an earlier
+ * attempt that was not answered. Undefined if an earlier request of the caller wrote the row.
  */
 function acceptedRowVersion(commit: RowCommit, job: JobSpec): number | undefined {
   if (commit.committed) return commit.version
   return commit.current.find(({ value }) => value === encodeJob(job))?.version
 }
 
-/** Whether a row that stood in the way of a new one says that the job is kept. */
+/** Whether a row that conflicts with a job's new row shows that the job was accepted before. */
 function provesAcceptance(row: StoredRow): boolean {
   if (row.table === ENDED_TABLE) return decodeEnded(row.value) !== undefined
   return decodeIntake(row, row.value).kind === 'job'
 }
 
-/** Creates the service; it keeps nothing of its own. */
+/** Creates the service, which holds no state of jobs. */
 export function createJobService(opts: JobServiceOptions): JobService {
   const { store, configuration, owners, log } = opts
   const unreadRows = createUnreadRows(log, INTAKE_TABLE)
 
   /**
-   * Whether the job is kept, by the rows that stood in the way of its own. Where none of them
-   * can be read its owner may know it; otherwise the caller is to ask again.
+   * Whether the job was accepted before, according to the rows that conflict with its new row.
+   * If none of them can be read, the owner is asked; if it does not know the job either, the
+   * caller must send the job again.
    */
   async function isAlreadyAccepted(
     rows: StoredRow[],
@@ -120,14 +123,14 @@
     return (await owners.status(service, id)) !== undefined
   }
 
-  /** The answer, and a line when it is for want of a row that can be read. */
+  /** Returns the answer; logs it if it is unavailable because of an unreadable row. */
   function logIfUnreadable<T>(id: string, answer: Answer<T>): Answer<T> {
     const isUnread = answer.kind === 'unavailable' && answer.reason === UNREADABLE
     if (isUnread) unreadRows.note(id, UNREADABLE)
     return answer
   }
 
-  /** Commits, again while it is not known what became of it; a repetition must do no harm. */
+  /** Commits, and repeats the commit while its outcome is unknown; it must be idempotent. */
   async function commitUntilKnown(tx: RowTransaction) {
     const endsAt = monotonicMs() + UNKNOWN_COMMIT_TIMEOUT_MS
     let mayHaveCommitted = false
@@ -142,8 +145,8 @@
   }
 
   /**
-   * Writes a job's row. Its condition lets only one write take effect, and a refused
-   * repetition shows that the job is kept.
+   * Writes a job's row. The conditions let only one write take effect, so that a repetition
+   * that is not committed shows that the job is stored.
    */
   function commitIntake(job: JobSpec) {
     const key = intakeKey(job.queue, job.id)
@@ -200,7 +203,7 @@
         const conditions = [{ ...intakeKey(queue.name, id), version }]
         const { res } = await commitUntilKnown({ conditions, puts: [put], removals: [] })
         if (res.isErr()) return unavailable(describeError(res.error))
-        // The job is over by now, and its row has moved.
+        // The job has finished since the read, and its row has moved to the ended table.
         if (!res.value.committed) continue
         log.event('jobCancelled', { job: id, queue: queue.name })
       }
@@ -216,7 +219,7 @@
         return { kind: 'found', queue, rest: path.slice(queue.pathPrefix.length) }
       const current = configuration.current()
       const isStale = monotonicMs() - configuration.freshAt() > CONFIGURATION_STALE_MS
-      // The queue may be among what could not be read: its callers are not told that it is none.
+      // An unreadable part of the configuration may define the queue, so it is not ruled out.
       if (!current || isStale || current.unread.length > 0) {
         return { kind: 'notReady', retryAfterMs: RETRY_AFTER_MS }
       }
--- a/src/front/nodeClients.ts
+++ b/src/front/nodeClients.ts
@@ -1,4 +1,4 @@
-/** Clients of other nodes, one for each address, over kept connections. */
+/** RPC clients for other nodes, one per address, over keep-alive connections. */
 import { Agent } from 'node:http'
 import { createClient } from '@connectrpc/connect'
 import type { Client } from '@connectrpc/connect'
@@ -6,10 +6,10 @@
 import { NodeService } from '../peer/gen/node_pb.js'
 import { MAX_MESSAGE_BYTES } from './ownerRoutes.js'
 
-/** Connections kept to one node, for calls that are under way at the same time. */
+/** Most connections to one node, which is also the limit of concurrent calls. */
 const CONNECTIONS_PER_NODE = 8
 
-/** A client of another node. */
+/** A client for another node. */
 export type NodeClient = Client<typeof NodeService>
 
 /** Clients by address. */
@@ -18,7 +18,7 @@
   close(): void
 }
 
-/** Creates the clients; connections are opened as they are needed. */
+/** Creates the clients; connections are opened on demand. */
 export function createNodeClients(): NodeClients {
   const agent = new Agent({ keepAlive: true, maxSockets: CONNECTIONS_PER_NODE })
   const clients = new Map<string, NodeClient>()
--- a/src/front/ownerCalls.ts
+++ b/src/front/ownerCalls.ts
@@ -18,46 +18,53 @@
 import { createQuestionBatches } from './questionBatches.js'
 import type { NewQuestion, QuestionBatches } from './questionBatches.js'
 
-/** Longest wait for the owner of the fleet, in ms; the next report follows soon. */
+/** Time-out of a report to the owner of the fleet, in ms; the next report follows soon. */
 const REPORT_TIMEOUT_MS = 400
 /**
- * Longest wait for the answer to a question, in ms; then the store answers the caller instead,
- * of whose 3 s enough is left.
+ * Time-out of a question, in ms. The caller is then answered from the store, for which enough of
+ * its 3 s is left.
  */
 const QUESTION_TIMEOUT_MS = 400
 /**
- * The same for news, which nobody waits for. A node that is late reads a call and its end in one
- * turn, and what was given up then has been read for nothing.
+ * Time-out of a notification, in ms; no caller waits for it. A shorter one would waste work: a
+ * node that runs late reads a call and its cancellation in one turn of its event loop.
  */
 const NOTIFICATION_TIMEOUT_MS = 2500
-/** Pause before news that was not answered is told again, in ms; jittered, and doubled each time. */
+/** Backoff before an unanswered notification is repeated, in ms; jittered, doubled each time. */
 const NOTIFICATION_RETRY_MS = 250
-/** News is told again for so long, in ms: by then the owner has seen it in the store many times. */
+/** Time for which a notification is repeated, in ms; the owner reads the store many times in it. */
 const NOTIFICATION_RETRY_LIMIT_MS = 8000
 /**
- * Time for which a node that did not answer a question is asked none that the store can answer,
- * in ms: each costs it about 1 ms, and a node that is late has none to spare.
+ * Time for which a node that did not answer is asked nothing that the store can answer, in ms.
+ * Each question costs the node about 1 ms, which a node that runs late cannot spare.
  */
 const QUESTION_BACKOFF_MS = 1000
 
-/** Calls to owners, wherever they run. */
+/** Calls to owners on this node and on others. */
 export interface OwnerCalls {
   /**
-   * Tells of a new job until the owner has answered; its loss costs only time.
+   * Notifies the owner of a new job, with retries. If the notification is lost, the owner finds
+   * the job in the store later.
    * @param rowVersion version of the job's row
    */
   offer(job: JobSpec, rowVersion: number): void
-  /** Tells of a job that was refused for an outage of the store; its loss costs only time. */
+  /**
+   * Notifies the owner once of a job that was refused because of a store outage. If the
+   * notification is lost, only time is lost.
+   */
   expect(job: JobSpec): void
-  /** Tells of a request to cancel until the owner has answered; its loss costs only time. */
+  /**
+   * Notifies the owner of a request to cancel, with retries. If the notification is lost, the
+   * owner finds the request in the store later.
+   */
   cancel(service: string, id: string): void
-  /** Undefined when the owner does not answer or does not know the job. */
+  /** State of a job; undefined if the owner does not answer or does not know the job. */
   status(service: string, id: string): Promise<JobStatus | undefined>
-  /** Jobs of the queue that have not begun; undefined when the owner does not answer. */
+  /** Number of jobs of the queue that have not begun; undefined if the owner does not answer. */
   waiting(service: string, queue: string): Promise<number | undefined>
-  /** Whether some live node owns the fleet. */
+  /** Whether a live node owns the fleet. */
   hasFleetOwner(): boolean
-  /** Undefined when the owner of the fleet does not answer. */
+  /** Reports a service's demand; undefined if the owner of the fleet does not answer. */
   reportToFleet(report: ServiceReport): Promise<FleetAnswer | undefined>
 }
 
@@ -80,24 +87,24 @@
   }
   const questions = createQuestionBatches(send, QUESTION_TIMEOUT_MS)
   const notifications = createQuestionBatches(send, NOTIFICATION_TIMEOUT_MS)
-  /** Steady times until which nodes that did not answer are spared. */
+  /** End of the backoff of nodes that did not answer, in ms of the monotonic clock, by address. */
   const backoffUntil = new Map<string, number>()
 
-  /** Address of the owner when that is another node, as far as the rows say. */
+  /** Address of the owner according to the node rows; undefined if it is this node or none. */
   function addressFor(service: string): string | undefined {
     const owner = registry.ownerOf(service)
     return owner && owner.id !== registry.self.id ? owner.address : undefined
   }
 
-  /** Notes that a call to an owner failed; the rows may name another one by now. */
+  /** Logs a failed call to an owner, and rereads the rows, which may name another owner by now. */
   function notePeerLost(step: string, service: string, reason: string): void {
     log.event('peerLost', { step, service, reason })
     void registry.refreshSoon()
   }
 
   /**
-   * Asks the owner on another node; undefined when the call fails or it is the owner no more.
-   * That costs only time: owners read the store.
+   * Asks the node at an address; undefined if the call fails or the node is no longer the owner.
+   * Such a failure only costs time, because owners also read the store.
    */
   async function askAddress(
     batches: QuestionBatches,
@@ -114,9 +121,9 @@
   }
 
   /**
-   * Asks the owner on another node, and the next one where the rows turn out to be old: most
-   * nodes look at them every 2.5 s, and a job that is not offered waits for the owner's look
-   * at the store, up to a second.
+   * Asks the owner on another node; if it does not answer as the owner, rereads the node rows and
+   * asks the owner that they name then. Most nodes reread the rows only every 2.5 s, and a job
+   * that is not offered waits up to a second until the owner reads the store.
    */
   async function ask(
     batches: QuestionBatches,
@@ -136,8 +143,8 @@
   }
 
   /**
-   * Tells until the owner has answered. Without an owner elsewhere nobody need be told: the
-   * next one reads the store first.
+   * Repeats a notification until the owner answers. Stops if no other node owns the service: the
+   * next owner reads the store first.
    */
   async function notifyOwner(
     service: string,
@@ -152,7 +159,7 @@
     }
   }
 
-  /** Whether the owner is on a node that did not answer a moment ago. */
+  /** Whether the owner is on a node that failed to answer within the backoff time. */
   function isBackingOff(service: string): boolean {
     const address = addressFor(service)
     return address !== undefined && monotonicMs() < (backoffUntil.get(address) ?? 0)
--- a/src/front/ownerRoutes.ts
+++ b/src/front/ownerRoutes.ts
@@ -1,4 +1,4 @@
-/** Answers to other nodes about the services that this node owns. */
+/** RPC server for other nodes: questions about owned services, fleet reports, store calls. */
 import { createServer } from 'node:http'
 import type { Server } from 'node:http'
 import type { ConnectRouter } from '@connectrpc/connect'
@@ -14,7 +14,7 @@
 import { answerPeerCall } from '../storeAccess/index.js'
 import type { StoreAccess } from '../storeAccess/index.js'
 
-/** Largest message, in bytes: a job of many steps with its text. */
+/** Largest message, in bytes; fits a job with many steps and its text. */
 export const MAX_MESSAGE_BYTES = 1024 * 1024
 
 /** Finds owners on this node. */
@@ -23,7 +23,7 @@
   fleet(): FleetOwner | undefined
 }
 
-/** What an answer says beyond that this node owns the service. */
+/** Fields of an answer besides `owns`. */
 type AnswerFields = Partial<Pick<Answer, 'status' | 'waiting' | 'wait'>>
 
 const offeredJobSchema = z.object({
@@ -31,10 +31,10 @@
   /** Version of the job's row. */
   rowVersion: z.number(),
 })
-/** A new job as one node offers it to another, in JSON. */
+/** A new job as one node offers it to another, encoded as JSON. */
 export type OfferedJob = z.infer<typeof offeredJobSchema>
 
-/** Hands on what the schema can read; a job that cannot be read comes from the store instead. */
+/** Passes on text that fits the schema; other text is ignored, as the owner also reads the store. */
 function withParsed<T>(
   schema: z.ZodType<T>,
   text: string,
@@ -45,7 +45,7 @@
   return {}
 }
 
-/** What an owner answers, by what it is asked about. */
+/** Handlers of questions, by kind of question. */
 const ANSWER_HANDLERS: Record<
   NonNullable<Question['about']['case']>,
   (owner: ServiceOwner, text: string) => AnswerFields
@@ -70,7 +70,7 @@
   return { owns: true, ...ANSWER_HANDLERS[about.case](owner, about.value) }
 }
 
-/** Answers other nodes about the services that this node owns, and calls the store for them. */
+/** Routes that answer other nodes about the services owned here and relay their store calls. */
 export function ownerRoutes(
   local: LocalOwners,
   access: StoreAccess,
@@ -92,7 +92,7 @@
     })
 }
 
-/** Opens the port for other nodes. Rejects when it cannot be opened. */
+/** Opens the port for other nodes; rejects if it cannot be opened. */
 export async function listenForNodes(
   host: string,
   port: number,
--- a/src/front/questionBatches.ts
+++ b/src/front/questionBatches.ts
@@ -1,38 +1,37 @@
 /**
- * Questions to other nodes, gathered: while a call to a node is under way, what is asked of
- * it meanwhile waits and goes with the next one. A call costs both ends about 1 ms of
- * processor time, whatever it carries, and an owner at its peak is asked some hundred
- * times a second.
+ * Batches questions to other nodes: while a call to a node is in flight, further questions to
+ * it wait for the next call. A call costs both ends about 1 ms of processor time regardless of
+ * its size, and an owner at its peak is asked some hundred times a second.
  */
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 import { PlatformError, describeError, monotonicMs } from '../shared/index.js'
 import type { Answer, Question } from '../peer/gen/node_pb.js'
 
-/** A question as it is asked; the generated type without its name. */
+/** A question without the fields that the generated code adds. */
 export type NewQuestion = Omit<Question, '$typeName' | '$unknown'>
 
-/** Names the call in errors. */
+/** Name of the call in errors. */
 const STEP = 'node.ask'
-/** Questions that one call carries at most: a few ms of the other node's time. */
+/** Most questions in one call; they take a few ms of the other node's time. */
 const MAX_QUESTIONS_PER_CALL = 200
-/** Bytes of text that one call carries at most: half of the largest message. */
+/** Most text in one call: half of the largest message. */
 const MAX_TEXT_PER_CALL = 512 * 1024
 
-/** Asks other nodes. */
+/** Sends questions to other nodes, in batches. */
 export interface QuestionBatches {
-  /** Asks the node at the address; an error when it does not answer in time. */
+  /** Asks the node at the address; an error if it does not answer in time. */
   ask(address: string, question: NewQuestion): Promise<Result<Answer, PlatformError>>
 }
 
-/** A question that waits for its call or for the answer. */
+/** A question that waits to be sent or answered. */
 interface Pending {
   question: NewQuestion
   askedAt: number
   settle(answer: Result<Answer, PlatformError>): void
 }
 
-/** What waits for one node. */
+/** Questions that wait to be sent to one node. */
 interface PeerQueue {
   waiting: Pending[]
   isSending: boolean
@@ -40,7 +39,7 @@
 
 const textOf = ({ about }: NewQuestion): string => about.value ?? ''
 
-/** Takes from the front as many as one call may carry, but one at least. */
+/** Removes from the front as many questions as fit into one call, and at least one. */
 function takeBatch(waiting: Pending[]): Pending[] {
   let text = 0
   let count = 0
@@ -53,9 +52,9 @@
 }
 
 /**
- * Creates the gathering; nothing is sent before the first question.
- * @param send calls a node; rejects when it does not answer in time
- * @param answerTimeoutMs longest wait for an answer, and for the call to begin
+ * Creates the batches; nothing is sent before the first question.
+ * @param send calls a node; rejects if it does not answer in time
+ * @param answerTimeoutMs longest wait for an answer, and longest wait to be sent, in ms
  */
 export function createQuestionBatches(
   send: (
@@ -78,7 +77,9 @@
       const answers = await send(address, questions, answerTimeoutMs)
       for (const [index, each] of batch.entries()) {
         const reply = answers[index]
-        each.settle(reply ? ok(reply) : failed(address, 'an answer is missing'))
+        each.settle(
+          reply ? ok(reply) : failed(address, 'the reply has no answer to this question'),
+        )
       }
     } catch (cause) {
       const reason = describeError(cause)
@@ -86,14 +87,14 @@
     }
   }
 
-  /** Fails what has waited so long that its caller has no more time for it. */
+  /** Fails questions that have waited longer than their callers wait. */
   function failExpired(address: string, line: PeerQueue): void {
     const cutoff = monotonicMs() - answerTimeoutMs
     const expired = line.waiting.filter(({ askedAt }) => askedAt < cutoff)
     if (expired.length === 0) return
     line.waiting = line.waiting.filter(({ askedAt }) => askedAt >= cutoff)
     for (const each of expired)
-      each.settle(failed(address, 'earlier calls took too long'))
+      each.settle(failed(address, 'timed out while earlier calls were in flight'))
   }
 
   async function sendQueued(address: string, line: PeerQueue): Promise<void> {
--- a/src/front/storedJobs.ts
+++ b/src/front/storedJobs.ts
@@ -1,4 +1,4 @@
-/** Jobs as the store has them, for callers whose owner does not answer. */
+/** Reads jobs from the store, for callers whose owner does not answer. */
 import {
   cancelKey,
   decodeEnded,
@@ -14,10 +14,10 @@
 import type { Queue, RowStore } from '../ports/index.js'
 import { describeError } from '../shared/index.js'
 
-/** When a refused caller should come back, in ms: about one renewal of a connection. */
+/** Time after which a refused caller should retry, in ms: about one renewal of a connection. */
 export const RETRY_AFTER_MS = 1000
 
-/** Why nothing is said of a job that is there: it is neither lost nor over for certain. */
+/** Reason for withholding the state of an existing job: it may be unfinished or finished. */
 export const UNREADABLE = 'the row of the job cannot be read'
 
 /** An answer about a job or a queue. */
@@ -26,24 +26,24 @@
   | { kind: 'unknownJob' }
   | { kind: 'unavailable'; retryAfterMs: number; reason: string }
 
-/** What the store has of a job. */
+/** A job according to its stored rows. */
 export interface StoredJob {
   service: string
   cancelled: boolean
-  /** Version of the job's row in the intake; 0 once the job is over. */
+  /** Version of the job's row in the intake; 0 if the job has finished. */
   version: number
-  /** Undefined while the row of the job is in the intake. */
+  /** Outcome of the job; undefined while its row is in the intake. */
   outcome: JobOutcome | undefined
 }
 
-/** The answer when nothing can be said now. */
+/** The answer for a request that cannot be answered now. */
 export const unavailable = (reason: string) => ({
   kind: 'unavailable' as const,
   retryAfterMs: RETRY_AFTER_MS,
   reason,
 })
 
-/** The row of a job that is over. */
+/** Reads the row of a finished job. */
 async function findEndedJob(
   store: RowStore,
   queue: Queue,
@@ -61,7 +61,7 @@
   return { kind: 'ok', value: { service, cancelled, version: 0, outcome } }
 }
 
-/** Reads a job's rows: first in the intake, from where they move when the job is over. */
+/** Reads a job's row from the intake, and then from the ended table, where it moves at the end. */
 export async function findStoredJob(
   store: RowStore,
   queue: Queue,
@@ -76,7 +76,7 @@
   if (!row) return findEndedJob(store, queue, id)
   const entry = decodeIntake(row, row.value)
   if (entry.kind !== 'job') {
-    // Another writer may have put it beside the row of a job that is over.
+    // Another writer may have put the unreadable row while the job was already in the ended table.
     const ended = await findEndedJob(store, queue, id)
     return ended.kind === 'unknownJob' ? unavailable(UNREADABLE) : ended
   }
@@ -86,7 +86,7 @@
   return { kind: 'ok', value: { service, cancelled, version, outcome: undefined } }
 }
 
-/** The state of a job by its rows alone. */
+/** State of a job derived from its stored rows alone. */
 export async function readStoredStatus(
   store: RowStore,
   queue: Queue,
@@ -101,7 +101,7 @@
   if (rows.isErr()) return unavailable(describeError(rows.error))
   const row = rows.value.rows[0]
   const progress = row && decodeProgress(row.value)
-  // It may hold an outcome, which no other answer may contradict.
+  // An unreadable row may hold an outcome, which no answer may contradict.
   if (row && !progress) return unavailable(UNREADABLE)
   return { kind: 'ok', value: storedStatus(cancelled, progress) }
 }
