--- a/src/node/closeServer.ts
+++ b/src/node/closeServer.ts
@@ -1,7 +1,7 @@
-/** Closing of the servers of a node. */
+/** Shutdown of HTTP servers. */
 import type { Server } from 'node:http'
 
-/** Takes no more connections and cuts those that are open. */
+/** Stops accepting connections and closes the open ones at once. */
 export function closeServer(server: Server): void {
   server.close()
   server.closeAllConnections()
--- a/src/node/endpointServices.ts
+++ b/src/node/endpointServices.ts
@@ -1,20 +1,20 @@
-/** Services that others reach: callers, readiness, metrics; and the planned stop. */
+/** Services with endpoints for callers, readiness checks and metrics, and the planned stop. */
 import { createJobService } from '../front/index.js'
 import { defineService } from '../kernel/index.js'
 import { describeError, sleep } from '../shared/index.js'
 import { closeServer } from './closeServer.js'
 
-/** Body limit before a configuration is known, in bytes: the platform's usual one. */
+/** Body limit while no configuration is known, in bytes: the platform's usual limit. */
 const DEFAULT_BODY_BYTES = 262_144
 /**
- * Time that a leaving node goes on answering, in ms: the platform sends new connections
- * until it has missed readiness twice, a second apart.
+ * Time for which a leaving node still answers, in ms: the platform sends new connections until
+ * two readiness checks, a second apart, have failed.
  */
 const DRAIN_NOTICE_MS = 2500
-/** Longest wait for requests in flight in a planned stop, in ms. */
+/** Longest wait for requests in flight during a planned stop, in ms. */
 const CLOSE_TIMEOUT_MS = 1000
 
-/** Serves metrics. A node without them still works: the port may be taken. */
+/** Serves metrics. If the port cannot be opened, the node runs without them. */
 export const metricsService = () =>
   defineService({
     name: 'metricsFace',
@@ -32,7 +32,7 @@
     },
   })
 
-/** Takes jobs from callers; in a planned stop, requests in flight are answered first. */
+/** Serves callers; a planned stop waits for requests in flight, up to `CLOSE_TIMEOUT_MS`. */
 export const callersService = () =>
   defineService({
     name: 'callers',
@@ -55,7 +55,7 @@
     },
   })
 
-/** Says whether the node takes requests. */
+/** Serves the readiness check. */
 export const readinessService = () =>
   defineService({
     name: 'readiness',
@@ -74,7 +74,7 @@
     stop: async ({ server }) => closeServer(server),
   })
 
-/** The last service to start, so that a planned stop begins with it. */
+/** Drains the node; as the last service to start, it is the first to stop. */
 export const departureService = () =>
   defineService({
     name: 'departure',
--- a/src/node/fleetReports.ts
+++ b/src/node/fleetReports.ts
@@ -1,25 +1,25 @@
-/** Tells the owner of the fleet about the services of this node, one task for all. */
+/** Reports the services owned by this node to the owner of the fleet, in one loop for all. */
 import type { OwnerCalls } from '../front/index.js'
 import { createStopController, sleep } from '../shared/index.js'
 import { NOTHING_TO_EMPTY, REPORT_MS } from '../vms/index.js'
 import type { OwnerTable } from './ownerTable.js'
 
-/** Reports that go on until they are stopped. */
+/** A running report loop. */
 export interface FleetReports {
   stop(): Promise<void>
 }
 
-/** Reports for every service of this node, until stopped; the answers go to the owners. */
+/** Starts the report loop; it passes the answers on to the owners of the services. */
 export function startFleetReports(owners: OwnerTable, calls: OwnerCalls): FleetReports {
   const stopping = createStopController()
 
-  /** Reports that are under way; an owner follows one answer at a time. */
+  /** Reports in flight, by service; one at a time, so that an owner handles one answer at a time. */
   const reportsInFlight = new Map<string, Promise<void>>()
 
   async function send(service: string): Promise<void> {
     const owner = owners.local.service(service)
     if (!owner) return
-    // The next owner of the fleet begins without reports, so it can act on none.
+    // The next owner of the fleet starts without reports, and so evacuates nothing yet.
     if (!calls.hasFleetOwner()) return owner.evacuate(NOTHING_TO_EMPTY)
     const answer = await calls.reportToFleet(owner.report())
     if (answer) owner.evacuate(answer)
@@ -39,7 +39,7 @@
       await sleep(REPORT_MS, stopping.signal)
     }
   }
-  // Saves half the time between two reports where VMs are missed most: at a jump.
+  // Reporting a jump in demand at once saves half of the interval on average, when VMs matter most.
   owners.onDemandGrown((service) => {
     if (!stopping.signal.aborted) void reportOne(service)
   })
--- a/src/node/index.ts
+++ b/src/node/index.ts
@@ -1,4 +1,4 @@
-/** `rillshunt-node`: everything that runs on an entry VM of the platform. */
+/** `rillshunt-node`: all services that run on an entry VM of the platform. */
 export * from './nodeServices.js'
 export * from './nodeMetrics.js'
 export * from './waitForSettings.js'
--- a/src/node/nodeMetrics.ts
+++ b/src/node/nodeMetrics.ts
@@ -1,27 +1,27 @@
 /**
- * Metrics of a node, by prom-client. Most follow from the events, so that log and metrics
- * cannot tell different stories; calls to outside services report for themselves.
+ * Metrics of a node, with prom-client. Most are derived from logged events, so that the log and
+ * the metrics always agree; calls to external services are recorded directly.
  */
 import { Counter, Histogram, Registry } from 'prom-client'
 import type { EventFields, EventName, Logger } from '../shared/index.js'
 
-/** Upper bounds in seconds: calls take some ms, jobs some seconds. */
+/** Upper bounds of histogram buckets, in seconds: calls take some ms, jobs some seconds. */
 const BUCKETS_S = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32]
 
 /** The metrics of one node. */
 export interface NodeMetrics {
   registry: Registry
-  /** Notes a call to an outside service. */
+  /** Records a call to an external service: its duration in ms and the bytes of its bodies. */
   noteCall(step: string, ms: number, sent: number, received: number): void
-  /** A logger that counts what passes through it. */
+  /** Wraps a logger, so that its events are counted. */
   watch(log: Logger): Logger
 }
 
-/** A field in ms as seconds; 0 when it is absent. */
+/** Converts a field from ms to seconds; 0 if it is absent. */
 const secondsOf = (fields: EventFields, name: string): number =>
   Number(fields[name] ?? 0) / 1000
 
-/** Registers the instruments in a registry of their own. */
+/** Creates the instruments in a registry of their own. */
 function createInstruments() {
   const registry = new Registry()
   const registers = [registry]
@@ -85,12 +85,12 @@
   return { registry, events, calls, bytes, waits, holds, intake, late, jobs, runEnds }
 }
 
-/** Creates the metrics, all at zero. */
+/** Creates the metrics of a node, all at zero. */
 export function createNodeMetrics(): NodeMetrics {
   const { registry, events, calls, bytes, waits, holds, intake, late, jobs, runEnds } =
     createInstruments()
 
-  /** What an event means for a metric, beyond being counted. */
+  /** Updates of metrics by event, in addition to the count of events. */
   const HANDLERS: Partial<Record<EventName, (fields: EventFields) => void>> = {
     taskPlaced: (fields) => waits.observe(secondsOf(fields, 'waitedMs')),
     taskWaits: (fields) => holds.inc({ hold: String(fields['hold']) }),
--- a/src/node/nodeServices.ts
+++ b/src/node/nodeServices.ts
@@ -1,4 +1,4 @@
-/** The services of a node, for the kernel. Outside services come in through `NodePlatform`. */
+/** Assembles the services of a node. External services are reached through `NodePlatform`. */
 import type { NodeConfig } from '../config/index.js'
 import { createKernel } from '../kernel/index.js'
 import type { Kernel } from '../kernel/index.js'
@@ -26,7 +26,7 @@
   targetSourceService,
 } from './sourceServices.js'
 
-/** Creates a node. */
+/** Creates the kernel of a node with all its services; none of them is started yet. */
 export function createNode(cfg: NodeConfig, platform: NodePlatform, log: Logger): Kernel {
   return createKernel(
     [
--- a/src/node/ownerServices.ts
+++ b/src/node/ownerServices.ts
@@ -1,4 +1,4 @@
-/** Services by which a node owns services, and reaches the owners on other nodes. */
+/** Services for owning services on this node, and for calls between owners on different nodes. */
 import { nanoid } from 'nanoid'
 import type { NodeConfig } from '../config/index.js'
 import type { ConfigurationHolder } from '../directory/index.js'
@@ -17,25 +17,25 @@
 import { startOwner } from './startOwner.js'
 import { createStoreRelay } from './storeRelay.js'
 
-/** Length of the name of a life of a node, in characters: 60 random bits. */
+/** Length of the random id of a node's process life, in characters: 60 random bits. */
 const LIFE_LENGTH = 10
 
 /**
- * Link with which an owner of a busy service is not held up, in Mbit/s. An estimate: 900
- * tasks a second, each about 1.5 kB for its order, the answer and its end, take 11 Mbit/s;
- * the rest is for bursts.
+ * Link speed that does not slow down the owner of a busy service, in Mbit/s. An estimate: 900
+ * tasks a second, each with about 1.5 kB for its order, the answer and its end, need 11 Mbit/s;
+ * the rest allows for bursts.
  */
 const OWNER_LINK_MBPS = 40
 
-/** What this node can carry as an owner: its share of a core, less where its link is thin. */
+/** Capacity of this node for ownership: its share of a core, reduced if its link is slow. */
 const roomOf = ({ node }: NodeConfig): number =>
   node.cpu_share * Math.min(1, node.link_mbps / OWNER_LINK_MBPS)
 
-/** The owners that run here. */
+/** Holds the owners that run on this node. */
 export const ownersService = () =>
   defineService({ name: 'owners', needs: [], start: async () => createOwnerTable() })
 
-/** This node's row, and those of the other nodes. */
+/** Writes this node's row and reads those of the other nodes. */
 export const registryService = (cfg: NodeConfig) =>
   defineService({
     name: 'registry',
@@ -57,18 +57,18 @@
     stop: (registry) => registry.stop(),
   })
 
-/** Every service but the spare ones needs an owner, and so does the fleet of VMs. */
+/** Names that need an owner: every service that is not a spare pool, and the fleet of VMs. */
 function ownedNames(configuration: ConfigurationHolder, hasCloud: boolean): string[] {
   const { services = new Map<string, ServicePool>(), queues = [] } =
     configuration.current() ?? {}
-  // A queue whose service is not listed, or could not be read, has jobs to run all the same.
+  // A queue may have jobs to run even if its service is not listed or could not be read.
   const all = new Set([...services.keys(), ...queues.map(({ service }) => service)])
   const names = [...all].filter((name) => !services.get(name)?.spare)
   if (names.length > 0 && hasCloud) names.push(FLEET)
   return names.sort()
 }
 
-/** Claims services and runs their owners. */
+/** Claims ownership of services and runs their owners. */
 export const ownershipService = (cfg: NodeConfig) =>
   defineService({
     name: 'ownership',
@@ -99,7 +99,7 @@
     stop: (ownership) => ownership.stop(),
   })
 
-/** Calls to other nodes, among them those of the store, and the port where they call here. */
+/** Sends calls to other nodes, including relayed store calls, and serves theirs. */
 export const ownerCallsService = (cfg: NodeConfig) =>
   defineService({
     name: 'ownerCalls',
@@ -121,7 +121,7 @@
     },
   })
 
-/** Tells the owner of the fleet about the services of this node, one task for all. */
+/** Reports the services owned by this node to the owner of the fleet. */
 export const reportsService = () =>
   defineService({
     name: 'reports',
--- a/src/node/ownerTable.ts
+++ b/src/node/ownerTable.ts
@@ -1,25 +1,25 @@
-/** The owners that run on this node. */
+/** Registry of the owners that run on this node. */
 import type { LocalOwners } from '../front/index.js'
 import type { ServiceOwner } from '../scheduler/index.js'
 import type { FleetOwner } from '../vms/index.js'
 
-/** Owners that run on this node, by service. */
+/** Owners that run on this node, and the names that it claims. */
 export interface OwnerTable {
   local: LocalOwners
   setFleet(owner: FleetOwner | undefined): void
-  /** Names that this node claims, also while it still takes over. */
+  /** Names that this node claims, including those whose takeover is not finished. */
   names(): string[]
   claim(service: string): void
   release(service: string): void
   add(owner: ServiceOwner): void
   remove(owner: ServiceOwner): void
-  /** A service needs much more than its owner last reported. */
+  /** Announces that a service needs much more than its owner last reported. */
   demandGrown(service: string): void
-  /** Calls the listener when a service of this node needs much more. */
+  /** Registers a listener for `demandGrown`. */
   onDemandGrown(listener: (service: string) => void): void
 }
 
-/** Makes a table without owners. */
+/** Creates a table without owners. */
 export function createOwnerTable(): OwnerTable {
   const owners = new Map<string, ServiceOwner>()
   const claimed = new Set<string>()
--- a/src/node/serviceMap.ts
+++ b/src/node/serviceMap.ts
@@ -1,4 +1,4 @@
-/** Types of the services of a node, by their names for the kernel. */
+/** Types of a node's services, by their names in the kernel. */
 import type { Server } from 'node:http'
 import type { ConfigurationHolder, TargetSource } from '../directory/index.js'
 import type { JobService, NodeClients, OwnerCalls } from '../front/index.js'
@@ -15,23 +15,26 @@
 import type { FleetReports } from './fleetReports.js'
 import type { OwnerTable } from './ownerTable.js'
 
-/** What the adapter to a platform provides. */
+/** Interfaces that the adapter to a platform provides. */
 export interface NodePlatform {
   store: ObservedRowStore
   orders: TargetOrders
   cloud: VmCloud | undefined
   advice: Advice | undefined
   documents: Documents
-  /** Opens the address for callers. */
+  /** Opens the endpoint for callers. */
   openCallers(jobs: JobService, maxBodyBytes: () => number): Promise<Server>
-  /** Opens the address where the platform asks whether the node is ready. */
+  /**
+   * Opens the endpoint for the platform's readiness check.
+   * @param notReady the reason why the node is not ready; undefined if it is ready
+   */
   openReadiness(notReady: () => string | undefined): Promise<Server>
-  /** Opens the address for metrics. */
+  /** Opens the endpoint for metrics. */
   openMetrics(): Promise<Server>
   close(): void
 }
 
-/** Whether the node stops; set once and never taken back. */
+/** State of the node; `leaving` is set when a planned stop begins, and never reset. */
 export interface NodeState {
   leaving: boolean
 }
--- a/src/node/sourceServices.ts
+++ b/src/node/sourceServices.ts
@@ -1,4 +1,4 @@
-/** Services that others build on: the platform, its documents, the state of the node. */
+/** Services that other services depend on: platform, store, documents, state of the node. */
 import {
   createConfigurationHolder,
   createTargetList,
@@ -9,7 +9,7 @@
 import { createStoreAccess } from '../storeAccess/index.js'
 import type { NodePlatform } from './serviceMap.js'
 
-/** The adapter to the platform; closed last. */
+/** Provides the platform adapter; it is closed last. */
 export const platformService = (platform: NodePlatform) =>
   defineService({
     name: 'nodePlatform',
@@ -18,7 +18,7 @@
     stop: async (each) => each.close(),
   })
 
-/** The store as this node reaches it, itself or through a peer. */
+/** Provides access to the store, directly or through a peer. */
 export const storeAccessService = () =>
   defineService({
     name: 'storeAccess',
@@ -28,11 +28,11 @@
     stop: async (access) => access.stop(),
   })
 
-/** Whether the node stops. */
+/** Holds the state of the node. */
 export const stateService = () =>
   defineService({ name: 'nodeState', needs: [], start: async () => ({ leaving: false }) })
 
-/** How late this process runs. */
+/** Measures how late the event loop of this process runs. */
 export const latenessService = () =>
   defineService({
     name: 'lateness',
@@ -41,7 +41,7 @@
     stop: async (lateness) => lateness.stop(),
   })
 
-/** The configuration and the waves of the operators. */
+/** Follows the operators' configuration and waves. */
 export const configurationService = () =>
   defineService({
     name: 'configuration',
@@ -54,7 +54,7 @@
     stop: (each) => each.stop(),
   })
 
-/** The list of targets, for the owners that run here. */
+/** Provides the list of targets to the owners that run on this node. */
 export const targetSourceService = () =>
   defineService({
     name: 'targetSource',
--- a/src/node/startOwner.ts
+++ b/src/node/startOwner.ts
@@ -1,4 +1,4 @@
-/** Starts what runs for a name that this node owns: the fleet's owner or a service's. */
+/** Starts the owner of a name that this node has claimed: the fleet or a service. */
 import type { NodeConfig } from '../config/index.js'
 import type { ConfigurationHolder, TargetSource } from '../directory/index.js'
 import { FLEET } from '../ownership/index.js'
@@ -11,7 +11,7 @@
 import type { OwnerTable } from './ownerTable.js'
 import type { NodePlatform } from './serviceMap.js'
 
-/** What owners of either kind work with. */
+/** Dependencies of both kinds of owners. */
 export interface OwnerDependencies {
   cfg: NodeConfig
   platform: NodePlatform
@@ -79,7 +79,7 @@
   }
 }
 
-/** Starts the owner that an authority is for. */
+/** Starts the owner for the service, or the fleet, of the authority. */
 export async function startOwner(
   dependencies: OwnerDependencies,
   authority: Authority,
--- a/src/node/storeRelay.ts
+++ b/src/node/storeRelay.ts
@@ -1,4 +1,4 @@
-/** The relay of this node: has other nodes call the store for it, over the clients of nodes. */
+/** Relays store calls of this node through other nodes. */
 import type { NodeClients } from '../front/index.js'
 import type { NodeRegistry } from '../ownership/index.js'
 import type { Logger } from '../shared/index.js'
@@ -6,12 +6,12 @@
 import type { StoreRelay } from '../storeAccess/index.js'
 
 /**
- * Peers that are asked at once who of them reaches the store. With a third of the nodes turned
- * away, one search in 27 finds none; each peer that is asked costs both ends about 1 ms.
+ * Peers that one search asks at the same time. If the store refuses a third of the nodes, one
+ * search in 27 finds no peer; asking a peer costs both ends about 1 ms.
  */
 const MAX_RELAY_CANDIDATES = 3
 
-/** Creates the relay through the nodes that the registry knows. */
+/** Creates the relay; its peers come from the registry. */
 export function createStoreRelay(
   registry: NodeRegistry,
   clients: NodeClients,
@@ -27,7 +27,7 @@
   })
 }
 
-/** Addresses of some other nodes, in another order each time. */
+/** Addresses of random other nodes that are not leaving. */
 function pickRandomPeers(registry: NodeRegistry): string[] {
   const others = registry
     .members()
--- a/src/node/waitForSettings.ts
+++ b/src/node/waitForSettings.ts
@@ -1,7 +1,7 @@
 /**
- * What a node does whose settings cannot be used: it says 503 where callers and the
- * platform ask, as far as the file names these addresses, and reads the file again until
- * it can be used, instead of ending in a loop.
+ * Operation of a node with invalid settings: it answers 503 to callers and readiness checks, if
+ * the file names their addresses, and rereads the file until it is valid. Exiting instead would
+ * make the process restart in a loop.
  */
 import { readFileSync } from 'node:fs'
 import { createServer } from 'node:http'
@@ -13,20 +13,20 @@
 import type { Logger } from '../shared/index.js'
 import { closeServer } from './closeServer.js'
 
-/** When callers should come back, in seconds: somebody has to mend the settings. */
+/** Time after which callers should retry, in seconds; an operator must correct the settings. */
 const RETRY_AFTER_S = 30
-/** Time between two readings of the file, in ms: it may change without a signal. */
+/** Time between two reads of the file, in ms; the file may change without a signal. */
 const REREAD_INTERVAL_MS = 1000
 
-/** Waits for settings that can be used. */
+/** A wait for valid settings. */
 export interface SettingsWait {
-  /** Resolves once the file can be used. */
+  /** Resolves once the file is valid. */
   readonly settings: Promise<LoadedNodeConfig>
-  /** Reads the file again now. */
+  /** Rereads the file now. */
   retry(): void
 }
 
-/** Says 503 at the addresses of the file until it can be used. */
+/** Answers 503 at the addresses in the file until the file is valid. */
 export function waitForSettings(file: string, reason: string, log: Logger): SettingsWait {
   let pause = createStopController()
   let lastReason = reason
@@ -68,7 +68,7 @@
   return server.listen(Number(address.slice(colon + 1)), address.slice(0, colon))
 }
 
-/** Addresses that the file names; none when it cannot be read, which is logged as rejected. */
+/** Addresses in the file; none if it cannot be parsed, which is logged as rejected settings. */
 function listenAddresses(file: string): string[] {
   try {
     const { listen = {} } = parse(readFileSync(file, 'utf8')) as {
