--- a/src/directory/configurationHolder.ts
+++ b/src/directory/configurationHolder.ts
@@ -1,30 +1,30 @@
-/** The configuration in force on this node, and the waves that the operators ask for. */
+/** The configuration in force on this node, and the waves requested by the operators. */
 import type { Configuration, Documents, Queue, RowStore, Wave } from '../ports/index.js'
 import { createUnreadRows } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createRowMirror } from './rowMirror.js'
 
 /**
- * Time that the store may hold a read for changes, in ms. A connection that died
- * silently is found after this and the call's time limit; the platform asks for a
- * configuration in force within 2 s.
+ * Longest time for which the store delays the answer to a read of changes, in ms. A connection
+ * that broke silently is detected after this time plus the call's time-out; the platform requires
+ * a configuration to be in force within 2 s.
  */
 const LONG_POLL_MS = 1200
 
-/** Configuration and waves, as last accepted. */
+/** The last accepted configuration and waves. */
 export interface ConfigurationHolder {
   current(): Configuration | undefined
   waves(): Wave[]
-  /** The queue for a host and a path, by the longest prefix. */
+  /** The queue of a host whose path prefix is the longest match for a path. */
   match(host: string, path: string): Queue | undefined
   queue(name: string): Queue | undefined
-  /** Steady time up to which no newer configuration was accepted, in ms. */
+  /** Time up to which the configuration is known to be current, in ms of the monotonic clock. */
   freshAt(): number
   subscribe(listener: () => void): void
   stop(): Promise<void>
 }
 
-/** Starts following what the operators write. */
+/** Starts following the operators' rows. */
 export function createConfigurationHolder(opts: {
   store: RowStore
   documents: Documents['operator']
@@ -39,7 +39,7 @@
   let byName = new Map<string, Queue>()
 
   const adopt = (next: Configuration): void => {
-    // Within one life the version never goes down, whatever a read brings.
+    // The version never goes down while the process lives, whatever a read returns.
     if (current && next.version <= current.version) return
     log.event('configurationInForce', {
       version: next.version,
@@ -69,7 +69,7 @@
       return void waves.delete(key)
     }
     const wave = documents.decodeWave(value)
-    // What was asked for stays asked for: only a row that can be read changes it.
+    // An unreadable row leaves the wave as it was last read.
     if (wave.isErr()) return unreadRows.note(key, wave.error.message)
     unreadRows.clear(key)
     waves.set(key, wave.value)
--- a/src/directory/index.ts
+++ b/src/directory/index.ts
@@ -1,4 +1,4 @@
-/** Copies of what others keep in the store: configuration, waves, targets. */
+/** Local copies of rows that others write to the store: configuration, waves, targets. */
 export * from './rowMirror.js'
 export * from './configurationHolder.js'
 export * from './targetList.js'
--- a/src/directory/rowMirror.ts
+++ b/src/directory/rowMirror.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of one part of a table: a full read, then the changes. When the history
- * is gone it reads afresh; in an outage the copy stays as it is.
+ * Keeps a copy of one part of a table: a full read, then the changes. If the history of changes
+ * is compacted, it repeats the full read; during an outage the copy stays as it is.
  */
 import type { RowStore } from '../ports/index.js'
 import {
@@ -15,38 +15,41 @@
 /** Pause after a failed read, in ms; jittered. */
 const RETRY_MS = 200
 
-/** Without a read for so long there was a gap, in ms: some reads at the usual pace failed. */
+/** Longest time between two successful reads without a gap, in ms; more means failed reads. */
 const MAX_READ_GAP_MS = 1500
 
 /** A copy that follows its table until it is stopped. */
 export interface RowMirror {
   /** Resolves once the first full read is done. */
   ready: Promise<void>
-  /** Steady time up to which the copy is known to be complete, in ms. */
+  /** Time up to which the copy is known to be complete, in ms of the monotonic clock. */
   freshAt(): number
-  /** Steady time since which it has been read without a gap, in ms. */
+  /** Time since which the table has been read without a gap, in ms of the monotonic clock. */
   steadySince(): number
   stop(): Promise<void>
 }
 
-/** What is copied, how often, and whom it tells. */
+/** Rows to copy, times and callbacks of a mirror. */
 export interface RowMirrorOptions {
   store: RowStore
   table: string
-  /** Undefined takes the changes of all parts, without a full read at the start. */
+  /** Part to copy; undefined follows the changes of all parts, without a full read. */
   part: string | undefined
-  /** Version to continue from, where there is no full read. */
+  /** Version from which to follow changes, if there is no full read. */
   after?: number
-  /** Time that the store may wait for a change before it answers, in ms. */
+  /** Longest time that the store waits for a change before it answers, in ms. */
   waitMs: number
   /** Pause between two reads, in ms. */
   pauseMs: number
   log: Logger
-  /** A row was written, or removed when the value is undefined. */
+  /** Called for each written row, and with an undefined value for each removed row. */
   onRow(part: string, key: string, value: string | undefined): void
-  /** After each read that brought something. */
+  /** Called after each full read, and after each read that returned changes. */
   onBatch?(): void
-  /** The history is gone where there is no full read; the caller must read by itself. */
+  /**
+   * Called if the history is compacted and there is no full read. The caller reads the rows itself
+   * and returns the version from which to continue; undefined if that failed.
+   */
   onGap?(): Promise<number | undefined>
 }
 
@@ -59,7 +62,7 @@
   let freshAt = -Infinity
   let steadySince = Infinity
   let isFailing = false
-  /** The next read follows at once: this one has only found out from where to go on. */
+  /** Whether the next read follows at once, as this one only found the version to continue from. */
   let skipPause = false
   let markReady: () => void = () => undefined
   const ready = new Promise<void>((resolve) => (markReady = resolve))
--- a/src/directory/targetList.ts
+++ b/src/directory/targetList.ts
@@ -1,18 +1,18 @@
-/** The list of targets, as the targets themselves keep it in the store. */
+/** The list of targets, read from the entries that the targets write to the store. */
 import type { Documents, RowStore, Target } from '../ports/index.js'
 import { createUnreadRows, monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createRowMirror } from './rowMirror.js'
 
 /**
- * Time that the store may wait for a change, in ms: a draining target must be known well
- * within 2 s, and a VM that has moved is heard of sooner than by asking at an interval.
+ * Longest time that the store waits for a change, in ms. A draining target must be noticed well
+ * within 2 s, and a long poll reports a moved VM sooner than polling at an interval.
  */
 const LONG_POLL_MS = 200
 
 /**
- * Pause between two reads, in ms. Entries change with every heartbeat of a target: with a
- * pause of 20 ms a node of 35 targets asked 12 times a second more than every 0.35 s.
+ * Pause between two reads, in ms. Entries change with every heartbeat of a target: with a pause
+ * of 20 ms, a node with 35 targets makes 12 more reads a second than with one read every 0.35 s.
  */
 const READ_PAUSE_MS = 150
 
@@ -20,13 +20,13 @@
 export interface TargetList {
   ready: Promise<void>
   byId(): ReadonlyMap<string, Target>
-  /** Steady time up to which the list is known, in ms. */
+  /** Time up to which the list is known to be complete, in ms of the monotonic clock. */
   freshAt(): number
-  /** Steady time since which the list has been read without a gap, in ms. */
+  /** Time since which the list has been read without a gap, in ms of the monotonic clock. */
   steadySince(): number
   /**
-   * Steady time since which the entry of a target cannot be read, in ms; undefined for one
-   * that can be read, or that is not there.
+   * Time since which the entry of a target cannot be read, in ms of the monotonic clock; undefined
+   * if the entry can be read or does not exist.
    */
   unreadableSince(id: string): number | undefined
   subscribe(listener: () => void): () => void
@@ -40,19 +40,18 @@
   log: Logger
 }): TargetList {
   const targets = new Map<string, Target>()
-  /** Entries that cannot be read, with the steady time of the first such writing, in ms. */
+  /** Ids of unreadable entries, with the time of the first such write, in ms (monotonic). */
   const unreadable = new Map<string, number>()
-  /** Start, service and address of the life of each id, as last written. */
+  /** Start of the process life, and service and address, as last written by each target. */
   const identities = new Map<string, { lifeStartMs: number; identity: string }>()
   const unreadRows = createUnreadRows(opts.log, opts.documents.table)
   const listeners = new Set<() => void>()
 
   /**
-   * Whether the entry is accepted: it belongs to a later life, or its service and address are
-   * those of the previous entry. No life changes its service or its address: of an entry that
-   * says so only the second writing in agreement counts. Followed at once, one such entry set
-   * the owners of two services against each other on one target, and each deposed the other
-   * in turn.
+   * Whether the entry is accepted: it belongs to a later life of the target, or its service and
+   * address equal those of the previous entry. They do not change during a life, so an entry that
+   * changes them is accepted only when a second entry confirms it. Otherwise a single wrong entry
+   * makes the owners of two services call the same target, where each deposes the other in turn.
    */
   function isAccepted({ id, lifeStartMs, service, address }: Target): boolean {
     const known = identities.get(id)
@@ -72,7 +71,7 @@
     unreadRows.clear(id)
   }
 
-  /** What an entry said before it could not be read is not used further. */
+  /** Removes the target of an unreadable entry; what the entry said before is no longer used. */
   function excludeTarget(id: string, reason: string): void {
     targets.delete(id)
     if (!unreadable.has(id)) unreadable.set(id, monotonicMs())
@@ -83,7 +82,7 @@
     const target = opts.documents.decode(id, value)
     if (target.isErr()) return excludeTarget(id, target.error.message)
     if (!isAccepted(target.value)) {
-      return excludeTarget(id, 'a life that is known with another service or address')
+      return excludeTarget(id, 'service or address changed within one life of the target')
     }
     unreadable.delete(id)
     unreadRows.clear(id)
--- a/src/directory/targetSource.ts
+++ b/src/directory/targetSource.ts
@@ -1,18 +1,19 @@
 /**
- * The list of targets while somebody needs it. Only owners of services do: followed by all
- * nodes, of which one in ten owns something, it made a third of the calls to the store.
+ * Shares one list of targets among its users, and follows it only while there are any. Only owners
+ * of services need it: if all nodes followed it, of which one in ten owns something, it would make
+ * up a third of the calls to the store.
  */
 import type { TargetList } from './targetList.js'
 
-/** Gives out one list to all that need it at the same time. */
+/** A reference-counted list of targets. */
 export interface TargetSource {
-  /** The list, which is followed until it is released as often as it was acquired. */
+  /** Returns the list, which is followed until it is released as often as it was acquired. */
   acquire(): TargetList
   release(): void
   stop(): Promise<void>
 }
 
-/** Creates a source that follows nothing yet. */
+/** Creates a source; it follows no list before the first `acquire`. */
 export function createTargetSource(createList: () => TargetList): TargetSource {
   let list: TargetList | undefined
   let userCount = 0
