--- a/src/storeAccess/circuitBreaker.ts
+++ b/src/storeAccess/circuitBreaker.ts
@@ -1,7 +1,7 @@
 /**
- * Notices that the store cannot be used: it is silent, with calls under way and nothing
- * answered, or it breaks connections. No calls are sent until a probe is answered; those
- * under way at a silent store are given up at once.
+ * Circuit breaker for the store. It opens if the store is silent, which means that it answers
+ * none of the calls in flight, or if a connection to it breaks. While it is open only probes are
+ * sent, and an answered probe closes it. If the store is silent, calls in flight fail at once.
  */
 import type { RowStore } from '../ports/index.js'
 import {
@@ -24,27 +24,27 @@
 
 /** A store behind a circuit breaker. */
 export interface CircuitBreaker {
-  /** Makes a call; `waitMs` is the time that the store may take on purpose. */
+  /** Makes a call; `waitMs` is the time for which the store may delay its answer on request. */
   run(call: () => Promise<StoreAnswer>, waitMs?: number): Promise<StoreAnswer>
-  /** Bytes came from the store: it is not silent, however long its answer takes. */
+  /** Records that bytes arrived from the store, which is then not silent, even in a long answer. */
   noteBytes(): void
   stop(): void
 }
 
-/** A call that is under way. */
+/** A call in flight. */
 interface Pending {
   fail(reason: string): void
 }
 
-/** Whether the call was lost, perhaps with its connection. */
+/** Whether the call was lost, possibly with its connection. */
 const isBroken = (answer: StoreAnswer): boolean =>
   answer.isErr() && answer.error.failure === 'unknown'
 
-/** Why no calls are let through. */
+/** Reasons for an open breaker. */
 const SILENT = 'the store is silent'
 const BROKEN = 'a connection to the store broke'
 
-/** Creates a breaker that lets calls through. */
+/** Creates a closed breaker, which lets calls through. */
 export function createCircuitBreaker(opts: {
   store: RowStore
   log: Logger
@@ -57,30 +57,30 @@
   const stopping = createStopController()
   const pending = new Set<Pending>()
   let answeredAt = -Infinity
-  /** When something last came from the store, be it a part of an answer. */
+  /** Time at which bytes last arrived from the store, including parts of an answer. */
   let heardAt = -Infinity
-  /** Since when no calls are let through; undefined while they are. */
+  /** Time at which the breaker opened; undefined while it is closed. */
   let openSince: number | undefined
   let openReason = ''
-  /** Calls that wait for the first probes after a connection broke. */
+  /** Resumes the calls that wait for the first probes after a connection broke. */
   const resumeWaiting = new Set<() => void>()
 
   const failPending = (reason: string): void => {
     for (const each of [...pending]) each.fail(reason)
   }
 
-  /** Lets calls through again. */
+  /** Closes the breaker: calls are let through again. */
   function close(): void {
     if (openSince === undefined) return
     const openMs = Math.round(monotonicMs() - openSince)
     log.event('storeAnswers', { openMs, reason: openReason })
     openSince = undefined
-    // What was sent while the store was silent will not be answered any more.
+    // Calls that were sent while the store was silent will not be answered.
     if (openReason === SILENT) failPending('sent while the store was silent')
     for (const proceed of [...resumeWaiting]) proceed()
   }
 
-  /** Lets no calls through until a probe is answered. */
+  /** Opens the breaker until a probe is answered. */
   function open(reason: string): void {
     if (openSince !== undefined) return
     openSince = monotonicMs()
@@ -90,7 +90,7 @@
     void probe()
   }
 
-  /** Waits for the first probes after a connection broke; a silent store is not waited for. */
+  /** Waits for the first probes after a connection broke; does not wait if the store is silent. */
   function untilClosed(): Promise<void> {
     const waitMs =
       openReason === SILENT ? 0 : (openSince ?? 0) + BROKEN_WAIT_MS - monotonicMs()
@@ -109,11 +109,11 @@
   const noteAnswer = (sentAt: number): void => {
     answeredAt = monotonicMs()
     heardAt = answeredAt
-    // An answer to a call from before the silence may have been under way for long.
+    // An answer to a call sent before the breaker opened does not show that the store works now.
     if (openSince !== undefined && sentAt >= openSince) close()
   }
 
-  /** Sends small reads until one is answered; each has a connection of its own. */
+  /** Sends small reads until one is answered, each on its own connection. */
   async function probe(): Promise<void> {
     while (openSince !== undefined && !stopping.signal.aborted) {
       const sentAt = monotonicMs()
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Makes the call; it is answered by the store, or given up when that is silent. */
+  /** Sends the call; resolves with the store's answer, or with a failure if the store is silent. */
   function send(call: () => Promise<StoreAnswer>, waitMs: number): Promise<StoreAnswer> {
     return new Promise((resolve) => {
       const sentAt = monotonicMs()
@@ -142,7 +142,7 @@
       pending.add(each)
       void call().then((answer) => {
         if (isAnswered(answer)) noteAnswer(sentAt)
-        // Another connection may have shown meanwhile that the store can be used.
+        // If another connection was answered since, the store works and the breaker stays closed.
         else if (isBroken(answer) && answeredAt < sentAt) open(BROKEN)
         finish(answer)
       })
--- a/src/storeAccess/commitTimeout.ts
+++ b/src/storeAccess/commitTimeout.ts
@@ -1,17 +1,17 @@
 /**
- * Tells callers soon that the answer to a commit is missing. By its conditions a commit takes
- * effect once at most, so that it may be made again; the call itself goes on, and its answer,
- * also a late one, says how long the next one is waited for.
+ * Adaptive time-out for commits. A commit takes effect at most once because of its conditions, so
+ * a caller that is soon told of a missing answer may repeat it. The call itself goes on: its
+ * answer, even a late one, adjusts the time-out of the next commit.
  */
 import type { StoreResult } from '../ports/index.js'
 import { createRoundTrip, monotonicMs, watchSilence } from '../shared/index.js'
 import { MAX_COMMIT_WAIT_MS, MIN_COMMIT_WAIT_MS } from './constants.js'
 import { STORE_PLACE, failedAnswer, isAnswered } from './storeCall.js'
 
-/** Makes a commit; fails as `unknown` once its answer is missing. */
+/** Makes a commit; fails as `unknown` if the answer does not arrive within the time-out. */
 export type CommitTimeout = <T>(commit: () => StoreResult<T>) => StoreResult<T>
 
-/** Creates the limit of one node. */
+/** Creates the time-out, which one node uses for all its commits. */
 export function createCommitTimeout(): CommitTimeout {
   const roundTrip = createRoundTrip({
     leastMs: MIN_COMMIT_WAIT_MS,
--- a/src/storeAccess/constants.ts
+++ b/src/storeAccess/constants.ts
@@ -1,37 +1,37 @@
-/** Times of access to the store, in ms on the steady clock. */
+/** Time-outs and intervals of store access, in ms of the monotonic clock. */
 
 /**
- * A store that has answered nothing for so long, with calls under way, counts as silent.
- * Slowed 60 times it still answers a read in 0.25 s and a write in 0.5 s.
+ * Time without any answer to calls in flight after which the store counts as silent. A store
+ * slowed 60 times still answers a read within 0.25 s and a write within 0.5 s.
  */
 export const SILENT_MS = 800
-/** The answer to a commit counts as missing after this time at the earliest. */
+/** Shortest time-out of a commit. */
 export const MIN_COMMIT_WAIT_MS = 100
-/** The same at the latest, also before the first answer. */
+/** Longest time-out of a commit, also used before the first answer. */
 export const MAX_COMMIT_WAIT_MS = 1500
 /**
- * A call waits so long for the first probe after a connection broke: several round trips.
- * Connections that break alone cost a call some ms; a store that breaks all of them is not
- * sent what would have to count as perhaps done.
+ * Longest wait of a call for the first probe after a connection broke: several round trips. A
+ * single broken connection delays a call by some ms. If the store breaks all connections, no
+ * commits are sent whose outcome would be unknown.
  */
 export const BROKEN_WAIT_MS = 60
-/** Time between two tries to reach a silent store; small against a caller's 3 s. */
+/** Interval between probes of an unusable store; short compared with a caller's 3 s. */
 export const PROBE_MS = 200
-/** Longest wait for a peer that makes a call for us: its own wait for the store, and the way. */
+/** Time-out of a relayed call: the peer's own wait for the store, plus the round trip to it. */
 export const RELAY_TIMEOUT_MS = 1000
-/** Longest wait for the first peer to say that it reaches the store: many round trips. */
+/** Time-out of asking a peer whether it reaches the store: many round trips. */
 export const PEER_PROBE_TIMEOUT_MS = 500
-/** A call waits so long for a peer to be found, then fails; callers are not held up. */
+/** Longest wait of a call for a search for a peer; it then fails, so as not to delay callers. */
 export const PEER_SEARCH_WAIT_MS = 150
-/** Time between two searches for a peer. */
+/** Interval between searches for a peer. */
 export const PEER_SEARCH_PAUSE_MS = 400
 /**
- * The same after searches that found none, each twice the last, up to here: the store is out
- * of reach for all of us. In an outage of 6 s, 92 nodes that asked six peers each every 0.4 s
- * used 79 s of processor time within 8 s, three times what they had used before it.
+ * Upper limit of that interval, which doubles after each search without a result, as the store is
+ * then out of reach for all nodes. In an outage of 6 s, 92 nodes that each ask six peers every
+ * 0.4 s use 79 s of processor time within 8 s, three times what they use before it.
  */
 export const PEER_SEARCH_PAUSE_MAX_MS = 1600
-/** A peer does not wait for changes on our behalf; we wait so long before we ask. */
+/** Longest pause before a relayed read of changes, because peers do not wait for changes. */
 export const RELAYED_POLL_MS = 300
-/** Time between two looks whether a peer was found: less than a round trip. */
+/** Interval at which a call checks for a found peer: less than a round trip. */
 export const PEER_SEARCH_POLL_MS = 3
--- a/src/storeAccess/index.ts
+++ b/src/storeAccess/index.ts
@@ -1,4 +1,4 @@
-/** Access to the store: silence is noticed early, and peers help where one is turned away. */
+/** Store access with a circuit breaker, and with relaying through peers if a node is refused. */
 export * from './storeAccess.js'
 export * from './storeCall.js'
 export * from './peerRelay.js'
--- a/src/storeAccess/pageSize.ts
+++ b/src/storeAccess/pageSize.ts
@@ -1,28 +1,29 @@
 /**
- * How many rows of a table to ask for at once. A page should come within a fraction of the
- * lease: renewals share the link with it, and wait behind it. Four pages of 320 kB on a link
- * of 1.4 Mbit/s held them up for 7 s.
+ * Adaptive page sizes for reads of tables. A page should arrive within a fraction of the lease,
+ * because lease renewals share the link and queue behind it: four pages of 320 kB on a link of
+ * 1.4 Mbit/s delay them by 7 s.
  */
 
-/** Time in which a page should come, in ms: a tenth of an owner's lease. */
+/** Time within which a page should arrive, in ms: a tenth of an owner's lease. */
 const PAGE_TIME_MS = 100
-/** Rows of the first page of a table of which nothing is known. */
+/** Rows of the first page of a table. */
 const FIRST_PAGE_ROWS = 16
-/** Fewest rows of a page. */
+/** Fewest rows per page. */
 const MIN_ROWS = 4
-/** Most rows of a page: the store gives no more. */
+/** Most rows per page: the limit of the store. */
 const MAX_ROWS = 500
-/** Most times by which one page may be larger than the last one. */
+/** Largest factor by which the page size grows from one page to the next. */
 const MAX_GROWTH = 4
 
-/** Learns from each page how large the next one may be. */
+/** Page sizes by table; each page adjusts the size of the next one. */
 export interface PageSizes {
+  /** Number of rows to ask for in the next page of a table. */
   rowsOf(table: string): number
-  /** A page with so many rows has taken so long. */
+  /** Records the number of rows of a page and the time that it took, in ms. */
   note(table: string, rows: number, tookMs: number): void
 }
 
-/** Creates page sizes that know of no table yet. */
+/** Creates page sizes; each table starts with `FIRST_PAGE_ROWS`. */
 export function createPageSizes(): PageSizes {
   const sizes = new Map<string, number>()
   const rowsOf = (table: string): number => sizes.get(table) ?? FIRST_PAGE_ROWS
@@ -30,7 +31,7 @@
     rowsOf,
     note(table, rows, tookMs) {
       const size = rowsOf(table)
-      // A short page shows what time it takes, but not that a longer one would be quick.
+      // A quick short page does not show that a full page would be quick too.
       const isFull = rows >= size
       if (!isFull && tookMs <= PAGE_TIME_MS) return
       const fitting = Math.floor((Math.max(1, rows) * PAGE_TIME_MS) / Math.max(1, tookMs))
--- a/src/storeAccess/peerRelay.ts
+++ b/src/storeAccess/peerRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Finds a peer that reaches the store, and has it make calls for this node. One peer
- * serves until it fails; while none is known, calls fail fast instead of trying each.
+ * Relays store calls through a peer that reaches the store. One peer is used until a call to it
+ * fails. While no peer is known, calls fail after a short wait instead of trying every peer.
  */
 import { describeError, monotonicMs, parseJson, sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
@@ -22,26 +22,26 @@
 } from './storeCall.js'
 import type { StoreAnswer, StoreCall } from './storeCall.js'
 
-/** Names the relay in errors. */
+/** Name of the relay in errors. */
 const STEP = 'store.relay'
 
-/** What the relay needs of the other nodes. */
+/** Access of the relay to the other nodes. */
 export interface PeerRelayOptions {
-  /** Addresses of nodes that may help, the best ones first. */
+  /** Addresses of the nodes to ask in a search. */
   peers(): string[]
-  /** Sends a call, as text, to a peer and brings its answer; rejects when that fails. */
+  /** Sends an encoded call to a peer and resolves with its encoded answer; rejects on failure. */
   send(address: string, call: string, timeoutMs: number): Promise<string>
   log: Logger
 }
 
-/** Creates the relay of one node; it looks for a peer when it is first needed. */
+/** Creates the relay of one node; the first call starts the search for a peer. */
 export function createPeerRelay(opts: PeerRelayOptions): StoreRelay {
   const { log } = opts
-  /** Address of the peer that serves now. */
+  /** Address of the peer in use; undefined if none is known. */
   let currentPeer: string | undefined
   let search: Promise<void> | undefined
   let searchedAt = -Infinity
-  /** Time to the next search; longer after each that found nobody. */
+  /** Time until the next search may start, in ms; doubled after each search without a result. */
   let pauseMs = PEER_SEARCH_PAUSE_MS
 
   async function ask(
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Takes the first peer that shows that it reaches the store. */
+  /** Probes the store through several peers and selects the first that succeeds. */
   async function findPeer(): Promise<void> {
     searchedAt = monotonicMs()
     await Promise.all(
@@ -76,7 +76,7 @@
 
   const isSearching = (): boolean => currentPeer === undefined && search !== undefined
 
-  /** Resolves once a peer is known, or after a short wait. */
+  /** Resolves once a peer is known, the search has ended, or `PEER_SEARCH_WAIT_MS` have passed. */
   async function ensurePeer(): Promise<void> {
     if (currentPeer !== undefined) return
     if (!search && monotonicMs() - searchedAt > pauseMs) {
@@ -103,7 +103,7 @@
   }
 }
 
-/** The other side of the relay: makes a peer's call, given as text, and answers as text. */
+/** Makes an encoded call on behalf of a peer, and returns the encoded answer. */
 export async function answerPeerCall(access: StoreAccess, text: string): Promise<string> {
   const call = storeCallSchema.safeParse(parseJson(text))
   if (call.success) return encodeAnswer(await access.callForPeer(call.data))
--- a/src/storeAccess/storeAccess.ts
+++ b/src/storeAccess/storeAccess.ts
@@ -1,7 +1,7 @@
 /**
- * The store as a node uses it. A store that turns only this node away, or cannot be
- * reached from here, is called through a peer, which makes the same call. Only what has
- * taken no effect for certain is passed on, so no call is ever made twice.
+ * The store as a node uses it. If the store refuses this node, or cannot be reached from it, a
+ * peer makes the call instead. A commit is relayed only if the direct one certainly had no effect,
+ * so that no commit is made twice.
  */
 import type { ObservedRowStore, RowStore, StoreResult } from '../ports/index.js'
 import { sleep } from '../shared/index.js'
@@ -12,21 +12,21 @@
 import { makeStoreCall } from './storeCall.js'
 import type { StoreAnswer, StoreCall } from './storeCall.js'
 
-/** Makes a call of the store through a peer; undefined when none can help now. */
+/** Makes a store call through a peer; undefined if no peer is known to reach the store. */
 export type StoreRelay = (call: StoreCall) => Promise<StoreAnswer | undefined>
 
 /** Access of one node to the store. */
 export interface StoreAccess {
-  /** The store for this node's own use. */
+  /** The store for this node's own calls. */
   store: RowStore
-  /** Makes a call for a peer; it is not passed on to another one. */
+  /** Makes a call on behalf of a peer; it is not relayed further. */
   callForPeer(call: StoreCall): Promise<StoreAnswer>
-  /** Says how to reach the store through peers, once peers can be known. */
+  /** Sets the relay to use when the store cannot be called directly. */
   relayThrough(relay: StoreRelay): void
   stop(): void
 }
 
-/** Creates the access; until a relay is given, calls go to the store only. */
+/** Creates the access; without a relay, calls only go to the store directly. */
 export function createStoreAccess(opts: {
   direct: RowStore & Partial<ObservedRowStore>
   log: Logger
@@ -46,7 +46,7 @@
     isRelaying = relays
   }
 
-  /** Whether the call has taken no effect and a peer may get through with it. */
+  /** Whether the call had no effect, or is a read, and a peer may succeed with it. */
   const isWorthRelaying = (call: StoreCall, answer: StoreAnswer): boolean => {
     if (answer.isOk() || answer.error.failure === 'compacted') return false
     return call.method !== 'commit' || answer.error.failure !== 'unknown'
@@ -63,7 +63,7 @@
     return relayed
   }
 
-  /** The same with the type of the call's answer, which the caller must know. */
+  /** Runs a call; `T` must be the type of its answer. */
   const runAs = <T>(call: StoreCall, waitMs = 0): StoreResult<T> =>
     run(call, waitMs) as StoreResult<T>
 
@@ -75,7 +75,7 @@
       changes: (table, after, waitMs) =>
         runAs({ method: 'changes', table, after }, waitMs),
     },
-    // It does not wait for changes: a peer's connection is not held up.
+    // Does not wait for changes, which would block the connection of the peer.
     callForPeer: (call) => breaker.run(() => makeStoreCall(direct, call, 0)),
     relayThrough: (given) => void (relay = given),
     stop: () => breaker.stop(),
--- a/src/storeAccess/storeCall.ts
+++ b/src/storeAccess/storeCall.ts
@@ -1,4 +1,4 @@
-/** Calls of the store as data, so that one node can make them for another. */
+/** Serializable store calls and answers, so that one node can make calls for another. */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -15,7 +15,7 @@
 })
 const rangeSchema = z.object({ from: z.string(), until: z.string() }).partial()
 
-/** One call of the store. */
+/** Schema of a store call. */
 export const storeCallSchema = z.discriminatedUnion('method', [
   z.object({ method: z.literal('commit'), tx: transactionSchema }),
   z.object({
@@ -27,25 +27,25 @@
   z.object({ method: z.literal('parts'), table: z.string() }),
   z.object({ method: z.literal('changes'), table: z.string(), after: z.number() }),
 ])
-/** One call of the store. */
+/** A store call. */
 export type StoreCall = z.infer<typeof storeCallSchema>
 
-/** Answer to a call; the call tells what a value is, if it is not known from elsewhere. */
+/** Answer to a call; the method of the call determines the type of the value. */
 export type StoreAnswer<T = unknown> = Result<T, PlatformError>
 
-/** Where calls that are given up or not sent have failed. */
+/** Place of failure of calls that are abandoned or not sent. */
 export const STORE_PLACE: ErrorPlace = { step: 'store', peer: 'store' }
 
-/** Whether the store itself has answered, be it to refuse. */
+/** Whether the store itself answered, including a refusal. */
 export const isAnswered = (answer: StoreAnswer): boolean =>
   answer.isOk() ||
   answer.error.failure === 'refused' ||
   answer.error.failure === 'compacted'
 
-/** A small read, which shows whether the store answers. */
+/** A small read that shows whether the store answers. */
 export const PROBE: StoreCall = { method: 'read', table: 'probe', part: '' }
 
-/** Answer to a call as it is passed between nodes. */
+/** Schema of an answer as it is sent between nodes. */
 const storeAnswerSchema = z.union([
   z.object({ value: z.unknown() }),
   z.object({
@@ -55,8 +55,8 @@
 ])
 
 /**
- * Makes the call.
- * @param waitMs time that the store may wait for changes before it answers
+ * Makes a call.
+ * @param waitMs longest time that the store waits for changes before it answers, in ms
  */
 export function makeStoreCall(
   store: RowStore,
@@ -75,7 +75,7 @@
   }
 }
 
-/** The answer to a call that failed. */
+/** Creates the answer to a failed call. */
 export function failedAnswer(
   failure: PlatformFailure,
   reason: string,
@@ -84,7 +84,7 @@
   return err(new PlatformError(reason, { props: { ...place, failure } }))
 }
 
-/** The answer as text for another node. */
+/** Encodes an answer for another node. */
 export function encodeAnswer(answer: StoreAnswer): string {
   return JSON.stringify(
     answer.isOk()
@@ -94,7 +94,7 @@
 }
 
 /**
- * The answer of another node; an unreadable one says nothing about the call's effect.
+ * Decodes the answer of another node. If it has the wrong shape, the effect of the call is unknown.
  * @param place where the call was made, for errors
  */
 export function decodeAnswer(value: unknown, place: ErrorPlace): StoreAnswer {
