--- a/src/directory/__tests__/configurationHolder.spec.ts
+++ b/src/directory/__tests__/configurationHolder.spec.ts
@@ -40,7 +40,7 @@
     await holder.stop()
   })
 
-  it('never goes back, and keeps what it has when a document is wrong', async (t) => {
+  it('keeps its configuration if a document is older or invalid', async (t) => {
     const { table, holder } = start()
     table.put(KEY, configuration(5, ['/a/']))
     await sleep(300)
@@ -52,7 +52,7 @@
     await holder.stop()
   })
 
-  it('reads afresh when the history is gone', async (t) => {
+  it('reads all rows again if the history is compacted', async (t) => {
     const { table, holder } = start()
     table.put(KEY, configuration(1, ['/a/']))
     await sleep(300)
--- a/src/directory/__tests__/targetList.spec.ts
+++ b/src/directory/__tests__/targetList.spec.ts
@@ -4,7 +4,7 @@
 import { createMemoryLogger, sleep } from '../../shared/index.js'
 import { createTargetList } from '../index.js'
 
-/** Time in which the list follows a change, with some to spare, in ms. */
+/** Time within which the list reflects a change, with a margin, in ms. */
 const UPDATE_WAIT_MS = 500
 
 const entry = (more: object = {}): string =>
@@ -35,7 +35,7 @@
 }
 
 describe('createTargetList', () => {
-  it('holds the targets that it can read beside entries that it cannot', async (t) => {
+  it('holds the targets with readable entries among unreadable ones', async (t) => {
     const { list, ids } = await start({
       a: entry(),
       b: 'no JSON',
@@ -46,8 +46,8 @@
     await list.stop()
   })
 
-  // It kept the old text, and its owner went on starting tasks by it.
-  it('uses no target further whose entry cannot be read, until it can be again', async (t) => {
+  // With the old entry kept, the owner would go on starting tasks on the target.
+  it('excludes a target while its entry cannot be read', async (t) => {
     const { put, list, ids } = await start({ a: entry(), b: entry() })
     for (const wrong of ['', '{}', entry({ address: 'x' }), entry({ state: 'off' })]) {
       put('a', wrong)
@@ -62,7 +62,7 @@
     await list.stop()
   })
 
-  it('tells of such an entry once, however often it is written', async (t) => {
+  it('logs an unreadable entry once, however often it is written', async (t) => {
     const { put, list, linesOf } = await start({ a: entry() })
     for (let beat = 0; beat < 5; beat++) {
       put('a', entry({ state: 'off', sequence: beat }))
@@ -80,7 +80,7 @@
     await list.stop()
   })
 
-  it('forgets what it noted of an entry that is removed', async (t) => {
+  it('forgets an unreadable entry that is removed', async (t) => {
     const { table, list, ids, linesOf } = await start({ a: 'no JSON' })
     table.remove({ table: 'servers', part: '', key: 'a' })
     await sleep(UPDATE_WAIT_MS)
@@ -90,8 +90,8 @@
     await list.stop()
   })
 
-  // The owners of two services called one target, and each deposed the other in turn.
-  it('believes no single entry that a life has another service or address', async (t) => {
+  // Otherwise the owners of two services call one target, and each deposes the other in turn.
+  it('rejects a single entry that changes service or address within a life', async (t) => {
     const { put, list, ids } = await start({ a: entry(), b: entry() })
     for (const other of [{ service: 'other' }, { address: '10.0.0.9:81' }]) {
       put('a', entry(other))
@@ -107,7 +107,7 @@
     await list.stop()
   })
 
-  it('believes the first entry of a later life with another service and address', async (t) => {
+  it('accepts the first entry of a later life with another service and address', async (t) => {
     const { put, list, ids } = await start({ a: entry({ born: 100 }) })
     put('a', entry({ born: 200, service: 'other', address: '10.0.0.9:81' }))
     await sleep(UPDATE_WAIT_MS)
@@ -117,7 +117,7 @@
     await list.stop()
   })
 
-  it('believes no single entry of an earlier life with another service', async (t) => {
+  it('rejects a single entry of an earlier life with another service', async (t) => {
     const { put, list, ids } = await start({ a: entry({ born: 200 }) })
     put('a', entry({ born: 100, service: 'other' }))
     await sleep(UPDATE_WAIT_MS)
--- a/src/directory/__tests__/targetSource.spec.ts
+++ b/src/directory/__tests__/targetSource.spec.ts
@@ -12,18 +12,18 @@
 }
 
 describe('createTargetSource', () => {
-  it('follows nothing before somebody needs the list', (t) => {
+  it('creates no list before the first use', (t) => {
     t.deepEqual(startSource().counts, { created: 0, stopped: 0 })
   })
 
-  it('gives the same list to all that need it at the same time', (t) => {
+  it('shares one list among concurrent users', (t) => {
     const { counts, source } = startSource()
     t.is(source.acquire(), source.acquire())
     source.release()
     t.deepEqual(counts, { created: 1, stopped: 0 })
   })
 
-  it('follows a new one after the last has released it', (t) => {
+  it('creates a new list after the last user has released the old one', (t) => {
     const { counts, source } = startSource()
     const first = source.acquire()
     source.release()
--- a/src/front/__tests__/jobService.spec.ts
+++ b/src/front/__tests__/jobService.spec.ts
@@ -49,18 +49,18 @@
 
 describe('createJobService', () => {
   describe('queue that is not in the configuration', () => {
-    it('does not exist', (t) => {
+    it('is unknown', (t) => {
       t.deepEqual(startService().jobs.match('q.example', '/q/'), { kind: 'unknown' })
     })
 
-    it('may be among the routes that could not be read', (t) => {
+    it('is not ruled out while a route cannot be read', (t) => {
       const { jobs } = startService(['routes.3: unreadable'])
       t.is(jobs.match('q.example', '/q/').kind, 'notReady')
     })
   })
 
-  describe('job that the store cannot take', () => {
-    it('is refused at once, and its owner told to expect it', async (t) => {
+  describe('job that the store cannot accept', () => {
+    it('is refused at once, and its owner is notified to expect it', async (t) => {
       const { table, jobs, offered, expected } = startService()
       table.faults.down = true
       t.is((await jobs.submit(QUEUE, JOB)).kind, 'refused')
@@ -68,8 +68,8 @@
     })
   })
 
-  describe('write that went unanswered', () => {
-    it('is repeated; the job is kept once and the caller told so', async (t) => {
+  describe('commit without an answer', () => {
+    it('is repeated; the job is stored once and the caller is told so', async (t) => {
       const { table, jobs, offered } = startService()
       let calls = 0
       table.faults.lostShare = 0.5
@@ -79,7 +79,7 @@
       t.deepEqual(offered, [JOB.id])
     })
 
-    it('changes nothing when it is done after its repetition', async (t) => {
+    it('has no effect if the store runs it after its repetition', async (t) => {
       const { table, jobs, offered } = startService()
       let calls = 0
       table.faults.lostShare = 0.5
@@ -91,7 +91,7 @@
       t.deepEqual(offered, [JOB.id])
     })
 
-    it('is never called undone, whatever its repetitions say', async (t) => {
+    it('is reported as uncertain, even if its repetitions are refused', async (t) => {
       const { table, jobs } = startService()
       table.faults.lostShare = 1
       setTimeout(() => (table.faults.down = true), 50)
@@ -100,9 +100,9 @@
     })
   })
 
-  describe('cancel whose write went unanswered', () => {
+  describe('cancel whose commit is not answered', () => {
     for (const lateMs of [0, 300]) {
-      it(`is not refused, when it is done after ${lateMs} ms`, async (t) => {
+      it(`succeeds if the store runs the commit after ${lateMs} ms`, async (t) => {
         const { table, jobs, cancelled } = startService()
         const job = { ...JOB, steps: makeJob({}).steps }
         t.is((await jobs.submit(QUEUE, job)).kind, 'accepted')
@@ -116,7 +116,7 @@
     }
   })
 
-  it('refuses at once what the store has not done', async (t) => {
+  it('refuses a job at once if the store is down', async (t) => {
     const { table, jobs } = startService()
     table.faults.down = true
     const began = performance.now()
--- a/src/front/__tests__/ownerCalls.spec.ts
+++ b/src/front/__tests__/ownerCalls.spec.ts
@@ -5,7 +5,7 @@
 import { createOwnerCalls } from '../index.js'
 import type { NodeClients } from '../index.js'
 
-/** A node whose rows name one owner, and another one once they are read again. */
+/** Calls of a node whose rows name one owner, and another one once they are reread. */
 function startCalls(known: string | undefined, fresh: string | undefined) {
   const asked: string[] = []
   let owner = known
@@ -34,34 +34,34 @@
 }
 
 describe('createOwnerCalls', () => {
-  // After all nodes had lost power, each node's first job waited up to a second for its owner.
-  it('offers a job to an owner that only fresh rows name', async (t) => {
+  // After a power loss of all nodes, each node's first job would wait up to a second for its owner.
+  it('offers a job to an owner that only reread rows name', async (t) => {
     const { calls, asked } = startCalls(undefined, 'owner')
     calls.offer(makeJob({}), 1)
     await sleep(10)
     t.deepEqual(asked, ['owner'])
   })
 
-  it('asks the next owner when the one that it knew gave the service up', async (t) => {
+  it('asks the next owner if the known one has given up the service', async (t) => {
     const { calls, asked } = startCalls('former', 'owner')
     t.is(await calls.status('svc', 'a'), 'running')
     t.deepEqual(asked, ['former', 'owner'])
   })
 
-  it('asks the next owner when the one that it knew does not answer', async (t) => {
+  it('asks the next owner if the known one does not answer', async (t) => {
     const { calls, asked } = startCalls('dead', 'owner')
     t.is(await calls.waiting('svc', 'queue'), 3)
     t.deepEqual(asked, ['dead', 'owner'])
   })
 
-  it('does not ask twice where the rows still say the same', async (t) => {
+  it('does not ask again if the reread rows name the same owner', async (t) => {
     const { calls, asked, refreshes } = startCalls('former', 'former')
     t.is(await calls.status('svc', 'a'), undefined)
     t.deepEqual(asked, ['former'])
     t.is(refreshes(), 1)
   })
 
-  it('leaves alone a service that this node is about to own', async (t) => {
+  it('asks nobody about a service that this node is about to own', async (t) => {
     const { calls, asked, refreshes } = startCalls('self', 'self')
     t.is(await calls.status('svc', 'a'), undefined)
     t.deepEqual([asked, refreshes()], [[], 0])
@@ -69,15 +69,13 @@
 })
 
 /**
- * What users saw: jobs that were cancelled went on, and new jobs were not begun, while their
- * owner's targets had room.
- * Order of events: the owner's processor is full, so that it answers after 0.4 s and more; each
- * call of an entry is given up before, and what it carried is told by nobody any more.
- * Cause: news was told once, within the time that a caller's question may take.
- * Evidence: 94 questions unanswered in two seconds, of 45 jobs accepted in them 2 taken on.
+ * Guards against cancelled jobs that go on, and new jobs that are not started although targets
+ * have room. An owner with a saturated processor answers after 0.4 s and more; notifications that
+ * are sent once, with the time-out of a caller's question, are then lost (94 unanswered questions
+ * in 2 s, and 2 of the 45 jobs accepted meanwhile reach their owner).
  */
-describe('news for an owner that answers late', () => {
-  /** An owner that hears nothing of its first calls, and the times that they were given. */
+describe('owner that answers late', () => {
+  /** An owner that does not receive its first calls; records the time-outs of all calls. */
   function startLate(lostCalls: number) {
     const heard: string[] = []
     const patience: Record<string, number[]> = {}
@@ -108,7 +106,7 @@
     return { calling, heard, patience, calls: () => calls }
   }
 
-  it('is told until the owner has answered', async (t) => {
+  it('is notified until it answers', async (t) => {
     const { calling, heard } = startLate(3)
     calling.cancel('svc', 'a')
     calling.offer(makeJob({}), 1)
@@ -116,7 +114,7 @@
     t.deepEqual(heard.sort(), ['cancel', 'offer'])
   })
 
-  it('has more time than the question of a caller who waits', async (t) => {
+  it('has more time for a notification than for the question of a waiting caller', async (t) => {
     const { calling, patience } = startLate(0)
     calling.cancel('svc', 'a')
     await calling.status('svc', 'b')
@@ -124,7 +122,7 @@
     t.true(patience['status']![0]! < 1000)
   })
 
-  it('does not wait for a question that is under way', async (t) => {
+  it('is notified without waiting for a question in flight', async (t) => {
     const { calling, heard } = startLate(0)
     void calling.status('svc', 'b')
     calling.cancel('svc', 'a')
@@ -132,7 +130,7 @@
     t.deepEqual(heard, ['status', 'cancel'])
   })
 
-  it('spares such an owner questions that the store can answer', async (t) => {
+  it('is not asked what the store can answer until the backoff ends', async (t) => {
     const { calling, calls } = startLate(1)
     t.is(await calling.status('svc', 'a'), undefined)
     await Promise.all(['b', 'c', 'd'].map((id) => calling.status('svc', id)))
--- a/src/front/__tests__/questionBatches.spec.ts
+++ b/src/front/__tests__/questionBatches.spec.ts
@@ -12,7 +12,7 @@
   about: { case: 'status', value: id },
 })
 
-/** A node that answers each question with the id it asks about, when it is told to. */
+/** A node that answers a call when the test says so, each question with the id it asks about. */
 function startNode() {
   const calls: string[][] = []
   const pending: { answer(): void; fail(): void }[] = []
@@ -35,8 +35,8 @@
 }
 
 describe('createQuestionBatches', () => {
-  describe('while a call is under way', () => {
-    it('gathers what is asked into the next one', async (t) => {
+  describe('while a call is in flight', () => {
+    it('collects further questions for the next call', async (t) => {
       const { calls, pending, ask } = startNode()
       const answers = ['a', 'b', 'c'].map(ask)
       t.deepEqual(calls, [['a']])
@@ -47,7 +47,7 @@
       t.deepEqual(await Promise.all(answers), ['a', 'b', 'c'])
     })
 
-    it('holds nothing up for another node', async (t) => {
+    it('does not delay questions to another node', async (t) => {
       const addresses: string[] = []
       const batches = createQuestionBatches((address) => {
         addresses.push(address)
@@ -60,7 +60,7 @@
   })
 
   describe('call that fails', () => {
-    it('fails its own questions; the next ones are asked', async (t) => {
+    it('fails only its own questions; the next ones are sent', async (t) => {
       const { pending, ask } = startNode()
       const answers = ['a', 'b'].map(ask)
       pending[0]?.fail()
@@ -69,7 +69,7 @@
       t.is(await answers[1], 'b')
     })
 
-    it('fails what has waited for it for longer than a call may take', async (t) => {
+    it('fails the questions that have waited longer than the time-out', async (t) => {
       const { calls, pending, ask } = startNode()
       const answers = ['a', 'b'].map(ask)
       await sleep(450)
@@ -80,7 +80,7 @@
   })
 
   describe('many or long questions', () => {
-    it('go in several calls, none left out', async (t) => {
+    it('are split over several calls without losing any', async (t) => {
       const { calls, pending, ask } = startNode()
       const ids = Array.from({ length: 500 }, (_, each) => `${each}`)
       const answers = ids.map(ask)
@@ -92,7 +92,7 @@
       t.true(calls.every((each) => each.length <= 200))
     })
 
-    it('go alone where two do not fit a message', async (t) => {
+    it('are sent one per call if two do not fit into a message', async (t) => {
       const { calls, pending, ask } = startNode()
       const answers = ['a', 'b'.repeat(400_000), 'c'.repeat(400_000)].map(ask)
       for (let call = 0; call < 3; call++) {
--- a/src/front/__tests__/unreadableRows.spec.ts
+++ b/src/front/__tests__/unreadableRows.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A caller asks for a job of which a row cannot be read. It is told neither that there is no
- * such job, nor an outcome: both would be for good.
+ * Requests about a job with an unreadable row. The caller must be told neither that the job is
+ * unknown nor that it has an outcome, because callers take both answers as final.
  */
 import { createRowTable } from '../../../playground/sim/rowTable.js'
 import { describe, it } from '../../../test/describe.js'
@@ -28,7 +28,7 @@
   acceptedAtMs: 1,
   endedAtMs: 2,
 })
-/** Texts that no row of a job has. */
+/** Texts that are not valid in any row of a job. */
 const WRONG = [
   '',
   '\uFFFD',
@@ -39,7 +39,7 @@
   'x'.repeat(1 << 20),
 ]
 
-/** A node whose owner answers as told. */
+/** A job service whose owner answers with the given status. */
 function startFront(known?: JobStatus) {
   const table = createRowTable()
   const log = createMemoryLogger()
@@ -66,9 +66,9 @@
   return { table, job, jobs, keys, put, linesOf, cancelled }
 }
 
-describe('job whose row in the intake cannot be read', () => {
+describe('job whose intake row cannot be read', () => {
   for (const text of WRONG) {
-    it(`is neither unknown nor over: ${text.slice(0, 12)}`, async (t) => {
+    it(`is neither unknown nor finished: ${text.slice(0, 12)}`, async (t) => {
       const { job, jobs, keys, put, linesOf } = startFront()
       put(keys.intake, text)
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
@@ -80,14 +80,14 @@
     })
   }
 
-  it('is accepted again where its owner knows it', async (t) => {
+  it('is accepted again if its owner knows it', async (t) => {
     const { job, jobs, keys, put } = startFront('running')
     put(keys.intake, 'not JSON')
     t.is((await jobs.submit(QUEUE, job)).kind, 'accepted')
     t.deepEqual(await jobs.status(QUEUE, job.id), { kind: 'ok', value: 'running' })
   })
 
-  it('has the outcome that is kept of it', async (t) => {
+  it('has the outcome of its ended row', async (t) => {
     const { job, jobs, keys, put } = startFront()
     put(keys.intake, 'not JSON')
     put(keys.ended, ENDED)
@@ -95,7 +95,7 @@
     t.is((await jobs.submit(QUEUE, job)).kind, 'accepted')
   })
 
-  it('is told from rows beside it whose keys begin with its own', async (t) => {
+  it('is not confused with rows whose keys begin with its own', async (t) => {
     const { table, job, jobs, keys, put } = startFront()
     put({ ...keys.intake, key: `${job.id}-` }, 'not JSON')
     t.is((await jobs.status(QUEUE, job.id)).kind, 'unknownJob')
@@ -106,21 +106,21 @@
   })
 })
 
-describe('job whose progress cannot be read', () => {
+describe('job whose progress row cannot be read', () => {
   for (const text of WRONG) {
-    it(`has no state that its rows could tell: ${text.slice(0, 12)}`, async (t) => {
+    it(`has no state derived from its rows: ${text.slice(0, 12)}`, async (t) => {
       const { job, jobs, keys, put } = startFront()
       put(keys.intake, encodeJob(job))
       put(keys.progress, text)
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
-      // The request is kept; whoever owns the service carries it out.
+      // The request is stored; the owner of the service carries it out.
       t.is((await jobs.cancel(QUEUE, job.id)).kind, 'ok')
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
     })
   }
 })
 
-describe('job that is over and whose row cannot be read', () => {
+describe('finished job whose row cannot be read', () => {
   for (const text of WRONG) {
     it(`is not unknown, and is not run again: ${text.slice(0, 12)}`, async (t) => {
       const { table, job, jobs, keys, put } = startFront()
--- a/src/jobs/__tests__/records.spec.ts
+++ b/src/jobs/__tests__/records.spec.ts
@@ -4,7 +4,7 @@
 describe('intakeKey', () => {
   const idOf = (number: number): string => (number * 7919).toString(16).padStart(16, '0')
 
-  // Found with a store slowed 60 times: the jobs of a queue were accepted one after another.
+  // In one part, a store slowed 60 times accepts the jobs of a queue one after another.
   it('spreads the jobs of a queue over parts', (t) => {
     const counts = new Map<string, number>()
     for (let number = 0; number < 800; number++) {
@@ -15,7 +15,7 @@
     t.true(Math.max(...counts.values()) < 200)
   })
 
-  it('keeps a job and its request to cancel in one part, the queues apart', (t) => {
+  it('puts a job and its request to cancel in one part, and other queues in other parts', (t) => {
     const id = idOf(17)
     t.is(cancelKey('q', id).part, intakeKey('q', id).part)
     t.not(intakeKey('other', id).part, intakeKey('q', id).part)
--- a/src/jobs/__tests__/rows.spec.ts
+++ b/src/jobs/__tests__/rows.spec.ts
@@ -1,4 +1,4 @@
-/** Rows of jobs that no node of ours has written, or that were cut or mixed up since. */
+/** Decoding of job rows that our nodes did not write, or that were truncated or swapped. */
 import fc from 'fast-check'
 import { describe, it } from '../../../test/describe.js'
 import { makeJob } from '../../../test/jobRig.js'
@@ -30,24 +30,24 @@
     ['a job of another queue', { queue: 'other' }],
     ['an id with a dot', { id: 'a.b' }],
     ['no steps', { steps: [] }],
-    ['steps that wait for later ones', { steps: [{ ...step, after: [0] }] }],
-    // An owner that takes it on runs out of memory, and so does each of its successors.
+    ['a step that waits for a later one', { steps: [{ ...step, after: [0] }] }],
+    // An owner that adds such a job runs out of memory, and so does each successor.
     ['a billion repetitions', { repetitions: 1e9 }],
     ['millions of tasks', { steps: Array(200).fill({ ...step, count: 20_000 }) }],
     ['half a task', { steps: [{ ...step, count: 0.5 }] }],
     ['a text of a megabyte', { spec: 'x'.repeat(1 << 20) }],
   ]
   for (const [what, change] of wrong) {
-    it(`is no job with ${what}`, (t) => void t.is(kindOf(change), 'invalid'))
+    it(`is invalid with ${what}`, (t) => void t.is(kindOf(change), 'invalid'))
   }
 
-  it('is no job in the part of another', (t) => {
+  it('is invalid in a part that is not its own', (t) => {
     t.is(kindOf({}, { ...KEY, part: 'queue/x' }), 'invalid')
   })
 })
 
 describe('progress row with crashes of a done task', () => {
-  // A remaining suspect would keep the other tasks of the step from starting.
+  // A suspect that remains would keep the other tasks of the step from starting.
   it('restores no crash suspect for the done task', (t) => {
     const job = createJob(JOB, 0)
     restoreProgress(job, {
@@ -61,7 +61,7 @@
 })
 
 describe('rows of jobs', () => {
-  it('never throw, nor make a job larger than it is, whatever their text', (t) => {
+  it('are decoded without an exception, whatever their text', (t) => {
     const text = fc.oneof(
       fc.json(),
       fc.string(),
@@ -77,8 +77,8 @@
     t.pass()
   })
 
-  // Spread into the arguments of one call, so many numbers ended the takeover.
-  it('restore no progress that names more failed runs than there can be', (t) => {
+  // 200 000 numbers, spread into the arguments of one call, exceed the stack and abort a takeover.
+  it('are rejected with more failed runs than there can be', (t) => {
     const runs = Array.from({ length: 200_000 }, (_, run) => run)
     const value = { done: {}, failedRuns: { '0.0.0': runs }, checkpoints: {} }
     t.is(decodeProgress(JSON.stringify(value)), undefined)
@@ -88,7 +88,7 @@
     t.is(job.occurrences[0]?.steps[0]?.tasks[0]?.failedRuns.size, 5)
   })
 
-  it('hold no run that is no whole number', (t) => {
+  it('are rejected with a run number that is not a safe non-negative integer', (t) => {
     for (const run of [1e300, -1, 0.5, '1']) {
       const value = { done: {}, failedRuns: { '0.0.0': [run] }, checkpoints: {} }
       t.is(decodeProgress(JSON.stringify(value)), undefined)
--- a/src/storeAccess/__tests__/lostCommits.spec.ts
+++ b/src/storeAccess/__tests__/lostCommits.spec.ts
@@ -5,14 +5,14 @@
 import { createMemoryLogger, monotonicMs, sleep } from '../../shared/index.js'
 import { createStoreAccess } from '../index.js'
 
-/** Time that callers allow a job beyond its work, in ms. */
+/** Time that callers allow a job in addition to its work, in ms. */
 const ALLOWANCE_MS = 600
-/** Time after which the adapter gives a call up, in ms. */
+/** Time-out of a call in the adapter, in ms. */
 const CALL_TIMEOUT_MS = 1500
 /** Time for which the store loses answers, in ms. */
 const LOSSES_MS = 4500
 
-/** Access to a store that does each third commit without an answer. */
+/** Access to a store that runs every third commit without answering it. */
 function startLossyStore(t: ExecutionContext, name: string) {
   const table = createRowTable()
   let commits = 0
@@ -43,7 +43,7 @@
     }
   })
 
-  it('takes no service from its owner', async (t) => {
+  it('does not cost an owner its service', async (t) => {
     const { table, store, lose } = startLossyStore(t, 'n1')
     const owner = startOwnerNode({ id: 'n1', store, services: ['a'], room: 9 })
     while (!owner.authorities.has('a')) await sleep(20)
@@ -59,7 +59,7 @@
     t.is(unconfirmed, 0)
   })
 
-  it('is not taken for a store that breaks connections', async (t) => {
+  it('is not treated as one that breaks connections', async (t) => {
     const { store, lose, log } = startLossyStore(t, 'n1')
     lose()
     const put = { table: 'rows', part: 'p', key: 'k', value: 'v' }
--- a/src/storeAccess/__tests__/pageSize.spec.ts
+++ b/src/storeAccess/__tests__/pageSize.spec.ts
@@ -1,7 +1,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { createPageSizes } from '../index.js'
 
-/** Reads pages of a table over a link, until their size stands. */
+/** Reads twelve pages of a table over a link, so that the page size settles. */
 function readOver(bytesPerMs: number, bytesPerRow: number, latencyMs = 8) {
   const sizes = createPageSizes()
   const times: number[] = []
@@ -15,11 +15,11 @@
 }
 
 describe('createPageSizes', () => {
-  it('grows to the largest page where the link bears it', (t) => {
+  it('grows to the largest page on a fast link', (t) => {
     t.is(readOver(17_500, 1500).rows, 500)
   })
 
-  it('keeps a page of a thin link to a fraction of the lease', (t) => {
+  it('keeps the time of a page on a slow link to a fraction of the lease', (t) => {
     const { times } = readOver(175, 5000)
     t.true(
       times.slice(1).every((ms) => ms <= 150),
@@ -27,13 +27,13 @@
     )
   })
 
-  it('does not grow by a page that was short', (t) => {
+  it('does not grow after a page that was not full', (t) => {
     const sizes = createPageSizes()
     sizes.note('t', 1, 5)
     t.is(sizes.rowsOf('t'), 16)
   })
 
-  it('keeps the tables apart, and asks for some rows always', (t) => {
+  it('adapts each table separately, and never asks for fewer than four rows', (t) => {
     const sizes = createPageSizes()
     for (let each = 0; each < 5; each++) sizes.note('t', 16, 60_000)
     t.is(sizes.rowsOf('t'), 4)
--- a/src/storeAccess/__tests__/storeAccess.spec.ts
+++ b/src/storeAccess/__tests__/storeAccess.spec.ts
@@ -11,10 +11,10 @@
   puts: [{ ...KEY, value: 'v' }],
   removals: [],
 }
-/** Short times, so that a test ends soon. */
+/** Short times keep the tests fast. */
 const TIMES = { silentMs: 60, probeMs: 20 }
 
-/** Access of nodes to one table; each reaches the store under its own name. */
+/** Access of several nodes to one table; each calls the store under its own name. */
 function startNodes(t: ExecutionContext, names: string[]) {
   const table = createRowTable()
   const log = createMemoryLogger()
@@ -41,8 +41,8 @@
 }
 
 describe('createStoreAccess', () => {
-  describe('store that turns one node away', () => {
-    it('is called through a peer, and directly again afterwards', async (t) => {
+  describe('store that refuses one node', () => {
+    it('is called through a peer, and directly again once it accepts the node', async (t) => {
       const { table, storeOf, loggedNames } = startNodes(t, ['a', 'b'])
       table.faults.refusedNodes.add('a')
       const commit = await storeOf('a').commit(PUT)
@@ -57,7 +57,7 @@
       t.deepEqual(loggedNames(), ['storePeerFound', 'storeRelayed', 'storeDirect'])
     })
 
-    it('keeps its word that the history is gone', async (t) => {
+    it('reports compacted history through a peer too', async (t) => {
       const { table, storeOf } = startNodes(t, ['a', 'b'])
       await storeOf('a').commit(PUT)
       table.compact()
@@ -67,8 +67,8 @@
     })
   })
 
-  describe('store whose answer takes long on our own link', () => {
-    it('is not held silent while bytes of it come', async (t) => {
+  describe('store whose answer takes long on the link of the node', () => {
+    it('is not considered silent while bytes arrive', async (t) => {
       const table = createRowTable()
       table.faults.delayMs = 400
       const log = createMemoryLogger()
@@ -85,7 +85,7 @@
     })
   })
 
-  it('fails fast, with nothing done, where no peer reaches the store either', async (t) => {
+  it('fails fast and without effect if no peer reaches the store either', async (t) => {
     const { table, storeOf } = startNodes(t, ['a', 'b', 'c'])
     table.faults.down = true
     const began = performance.now()
@@ -95,7 +95,7 @@
     t.is(table.get(KEY), undefined)
   })
 
-  it('passes on no commit that may have been done', async (t) => {
+  it('does not relay a commit that may have taken effect', async (t) => {
     const { table, storeOf } = startNodes(t, ['a', 'b'])
     table.faults.lostShare = 1
     table.faults.random = () => 0
@@ -105,7 +105,7 @@
   })
 
   describe('silent store', () => {
-    it('is noticed early; what was under way may have been done', async (t) => {
+    it('is detected early; commits in flight fail as unknown', async (t) => {
       const { table, storeOf, loggedNames } = startNodes(t, ['a'])
       table.faults.delayMs = 1500
       const commit = await storeOf('a').commit(PUT)
@@ -113,7 +113,7 @@
       t.deepEqual(loggedNames(), ['storeSilent'])
     })
 
-    it('gets no calls until a probe is answered', async (t) => {
+    it('receives no calls until a probe is answered', async (t) => {
       const { table, storeOf, loggedNames } = startNodes(t, ['a'])
       table.faults.delayMs = 1500
       await storeOf('a').read('rows', 'p')
@@ -125,7 +125,7 @@
       t.deepEqual(loggedNames(), ['storeSilent', 'storeAnswers'])
     })
 
-    it('is not what a slow one is that answers', async (t) => {
+    it('is told apart from a slow store that answers', async (t) => {
       const { table, storeOf } = startNodes(t, ['a'])
       table.faults.delayMs = 40
       const reads = setInterval(() => void storeOf('a').read('rows', 'p'), 20)
@@ -135,10 +135,10 @@
     })
   })
 
-  // Found with a store that reset connections for 3.5 s: each new job was sent into the
-  // next reset, and 155 callers of one day had to be told that it may have been kept.
+  // If a store resets connections for 3.5 s and commits are still sent, each new job runs into the
+  // next reset, and 155 callers are told that their job may have been stored.
   describe('store that breaks connections', () => {
-    it('is sent no commits that would count as perhaps done', async (t) => {
+    it('is sent no commits whose outcome would be unknown', async (t) => {
       const { table, storeOf, loggedNames } = startNodes(t, ['a'])
       table.faults.broken = true
       t.is((await storeOf('a').commit(PUT))._unsafeUnwrapErr().failure, 'unknown')
@@ -151,7 +151,7 @@
       t.true((await storeOf('a').commit(PUT)).isOk())
     })
 
-    it('costs calls only a probe when one connection broke alone', async (t) => {
+    it('delays calls only by a probe if a single connection broke', async (t) => {
       const { table, storeOf } = startNodes(t, ['a'])
       table.faults.broken = true
       const broken = storeOf('a').read('rows', 'p')
@@ -162,7 +162,7 @@
     })
   })
 
-  it('answers a peer whose call has the wrong shape with a refusal', async (t) => {
+  it('refuses a call of a peer that has the wrong shape', async (t) => {
     const access = createStoreAccess({
       direct: createRowTable().forNode('a'),
       log: createMemoryLogger(),
