--- a/src/front/__tests__/ownerCalls.spec.ts
+++ b/src/front/__tests__/ownerCalls.spec.ts
@@ -77,8 +77,8 @@
 describe('owner that answers late', () => {
   /** An owner that does not receive its first calls; records the time-outs of all calls. */
   function startLate(lostCalls: number) {
-    const heard: string[] = []
-    const patience: Record<string, number[]> = {}
+    const received: string[] = []
+    const timeouts: Record<string, number[]> = {}
     let calls = 0
     const registry = {
       self: { id: 'self', life: 'l' },
@@ -91,9 +91,9 @@
           { questions }: { questions: { about: { case: string; value: string } }[] },
           { timeoutMs }: { timeoutMs: number },
         ) {
-          for (const { about } of questions) (patience[about.case] ??= []).push(timeoutMs)
+          for (const { about } of questions) (timeouts[about.case] ??= []).push(timeoutMs)
           if (++calls <= lostCalls) throw new Error('no answer in time')
-          for (const { about } of questions) heard.push(about.case)
+          for (const { about } of questions) received.push(about.case)
           return {
             answers: questions.map(() => ({ owns: true, status: '', waiting: 0 })),
           }
@@ -102,41 +102,41 @@
     } as unknown as NodeClients
     const local = { service: () => undefined, fleet: () => undefined }
     const log = createMemoryLogger()
-    const calling = createOwnerCalls({ registry, local, clients, log })
-    return { calling, heard, patience, calls: () => calls }
+    const ownerCalls = createOwnerCalls({ registry, local, clients, log })
+    return { ownerCalls, received, timeouts, calls: () => calls }
   }
 
   it('is notified until it answers', async (t) => {
-    const { calling, heard } = startLate(3)
-    calling.cancel('svc', 'a')
-    calling.offer(makeJob({}), 1)
+    const { ownerCalls, received } = startLate(3)
+    ownerCalls.cancel('svc', 'a')
+    ownerCalls.offer(makeJob({}), 1)
     await sleep(3000)
-    t.deepEqual(heard.sort(), ['cancel', 'offer'])
+    t.deepEqual(received.sort(), ['cancel', 'offer'])
   })
 
   it('has more time for a notification than for the question of a waiting caller', async (t) => {
-    const { calling, patience } = startLate(0)
-    calling.cancel('svc', 'a')
-    await calling.status('svc', 'b')
-    t.true(patience['cancel']![0]! >= 2000)
-    t.true(patience['status']![0]! < 1000)
+    const { ownerCalls, timeouts } = startLate(0)
+    ownerCalls.cancel('svc', 'a')
+    await ownerCalls.status('svc', 'b')
+    t.true(timeouts['cancel']![0]! >= 2000)
+    t.true(timeouts['status']![0]! < 1000)
   })
 
   it('is notified without waiting for a question in flight', async (t) => {
-    const { calling, heard } = startLate(0)
-    void calling.status('svc', 'b')
-    calling.cancel('svc', 'a')
+    const { ownerCalls, received } = startLate(0)
+    void ownerCalls.status('svc', 'b')
+    ownerCalls.cancel('svc', 'a')
     await sleep(5)
-    t.deepEqual(heard, ['status', 'cancel'])
+    t.deepEqual(received, ['status', 'cancel'])
   })
 
   it('is not asked what the store can answer until the backoff ends', async (t) => {
-    const { calling, calls } = startLate(1)
-    t.is(await calling.status('svc', 'a'), undefined)
-    await Promise.all(['b', 'c', 'd'].map((id) => calling.status('svc', id)))
+    const { ownerCalls, calls } = startLate(1)
+    t.is(await ownerCalls.status('svc', 'a'), undefined)
+    await Promise.all(['b', 'c', 'd'].map((id) => ownerCalls.status('svc', id)))
     t.is(calls(), 1)
     await sleep(1100)
-    await calling.status('svc', 'e')
+    await ownerCalls.status('svc', 'e')
     t.is(calls(), 2)
   })
 })
--- a/src/front/__tests__/unreadableRows.spec.ts
+++ b/src/front/__tests__/unreadableRows.spec.ts
@@ -29,7 +29,7 @@
   endedAtMs: 2,
 })
 /** Texts that are not valid in any row of a job. */
-const WRONG = [
+const INVALID_TEXTS = [
   '',
   '\uFFFD',
   'null',
@@ -40,7 +40,7 @@
 ]
 
 /** A job service whose owner answers with the given status. */
-function startFront(known?: JobStatus) {
+function startService(known?: JobStatus) {
   const table = createRowTable()
   const log = createMemoryLogger()
   const job = makeJob({ ms: 10 })
@@ -67,9 +67,9 @@
 }
 
 describe('job whose intake row cannot be read', () => {
-  for (const text of WRONG) {
+  for (const text of INVALID_TEXTS) {
     it(`is neither unknown nor finished: ${text.slice(0, 12)}`, async (t) => {
-      const { job, jobs, keys, put, linesOf } = startFront()
+      const { job, jobs, keys, put, linesOf } = startService()
       put(keys.intake, text)
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
       t.is((await jobs.cancel(QUEUE, job.id)).kind, 'unavailable')
@@ -81,14 +81,14 @@
   }
 
   it('is accepted again if its owner knows it', async (t) => {
-    const { job, jobs, keys, put } = startFront('running')
+    const { job, jobs, keys, put } = startService('running')
     put(keys.intake, 'not JSON')
     t.is((await jobs.submit(QUEUE, job)).kind, 'accepted')
     t.deepEqual(await jobs.status(QUEUE, job.id), { kind: 'ok', value: 'running' })
   })
 
   it('has the outcome of its ended row', async (t) => {
-    const { job, jobs, keys, put } = startFront()
+    const { job, jobs, keys, put } = startService()
     put(keys.intake, 'not JSON')
     put(keys.ended, ENDED)
     t.deepEqual(await jobs.status(QUEUE, job.id), { kind: 'ok', value: 'completed' })
@@ -96,7 +96,7 @@
   })
 
   it('is not confused with rows whose keys begin with its own', async (t) => {
-    const { table, job, jobs, keys, put } = startFront()
+    const { table, job, jobs, keys, put } = startService()
     put({ ...keys.intake, key: `${job.id}-` }, 'not JSON')
     t.is((await jobs.status(QUEUE, job.id)).kind, 'unknownJob')
     put(keys.intake, encodeJob(job))
@@ -107,9 +107,9 @@
 })
 
 describe('job whose progress row cannot be read', () => {
-  for (const text of WRONG) {
+  for (const text of INVALID_TEXTS) {
     it(`has no state derived from its rows: ${text.slice(0, 12)}`, async (t) => {
-      const { job, jobs, keys, put } = startFront()
+      const { job, jobs, keys, put } = startService()
       put(keys.intake, encodeJob(job))
       put(keys.progress, text)
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
@@ -121,9 +121,9 @@
 })
 
 describe('finished job whose row cannot be read', () => {
-  for (const text of WRONG) {
+  for (const text of INVALID_TEXTS) {
     it(`is not unknown, and is not run again: ${text.slice(0, 12)}`, async (t) => {
-      const { table, job, jobs, keys, put } = startFront()
+      const { table, job, jobs, keys, put } = startService()
       put(keys.ended, text)
       t.is((await jobs.status(QUEUE, job.id)).kind, 'unavailable')
       t.is((await jobs.submit(QUEUE, job)).kind, 'uncertain')
--- a/src/front/jobService.ts
+++ b/src/front/jobService.ts
@@ -40,9 +40,7 @@
 } from './storedJobs.js'
 import type { Answer } from './storedJobs.js'
 
-/**
- * Age from which the configuration may lack a queue that exists, in ms: half of the allowed age.
- */
+/** Age from which the configuration may lack an existing queue, in ms: half of the allowed age. */
 const CONFIGURATION_STALE_MS = 1800
 
 /**
@@ -130,7 +128,7 @@
     return answer
   }
 
-  /** Commits, and repeats the commit while its outcome is unknown; it must be idempotent. */
+  /** Commits, and repeats the commit while its outcome is unknown; `tx` must be idempotent. */
   async function commitUntilKnown(tx: RowTransaction) {
     const endsAt = monotonicMs() + UNKNOWN_COMMIT_TIMEOUT_MS
     let mayHaveCommitted = false
--- a/src/front/ownerCalls.ts
+++ b/src/front/ownerCalls.ts
@@ -26,8 +26,8 @@
  */
 const QUESTION_TIMEOUT_MS = 400
 /**
- * Time-out of a notification, in ms; no caller waits for it. A shorter one would waste work: a
- * node that runs late reads a call and its cancellation in one turn of its event loop.
+ * Time-out of a notification, in ms; no caller waits for it. A node that runs late reads a call
+ * and its cancellation in one turn of its event loop, so a shorter time-out wastes that work.
  */
 const NOTIFICATION_TIMEOUT_MS = 2500
 /** Backoff before an unanswered notification is repeated, in ms; jittered, doubled each time. */
@@ -64,7 +64,7 @@
   waiting(service: string, queue: string): Promise<number | undefined>
   /** Whether a live node owns the fleet. */
   hasFleetOwner(): boolean
-  /** Reports a service's demand; undefined if the owner of the fleet does not answer. */
+  /** Sends a service's report; undefined if the owner of the fleet does not answer. */
   reportToFleet(report: ServiceReport): Promise<FleetAnswer | undefined>
 }
 
--- a/src/node/ownerServices.ts
+++ b/src/node/ownerServices.ts
@@ -112,7 +112,7 @@
       const calls = createOwnerCalls({ registry, local, clients, log })
       const { address, node_port: port } = cfg.listen
       const server = await listenForNodes(address, port, ownerRoutes(local, access))
-      access.relayThrough(createStoreRelay(registry, clients, log))
+      access.setRelay(createStoreRelay(registry, clients, log))
       return { ...calls, server, clients }
     },
     async stop({ server, clients }) {
--- a/src/node/ownerTable.ts
+++ b/src/node/ownerTable.ts
@@ -14,8 +14,8 @@
   add(owner: ServiceOwner): void
   remove(owner: ServiceOwner): void
   /** Announces that a service needs much more than its owner last reported. */
-  demandGrown(service: string): void
-  /** Registers a listener for `demandGrown`. */
+  emitDemandGrown(service: string): void
+  /** Registers a listener that is called with each announced service. */
   onDemandGrown(listener: (service: string) => void): void
 }
 
@@ -35,7 +35,7 @@
     remove(owner) {
       if (owners.get(owner.service) === owner) owners.delete(owner.service)
     },
-    demandGrown(service) {
+    emitDemandGrown(service) {
       for (const listener of listeners) listener(service)
     },
     onDemandGrown: (listener) => void listeners.push(listener),
--- a/src/node/startOwner.ts
+++ b/src/node/startOwner.ts
@@ -66,7 +66,7 @@
     targets: list,
     authority,
     log,
-    demandGrown: () => owners.demandGrown(authority.service),
+    demandGrown: () => owners.emitDemandGrown(authority.service),
   })
   owners.add(owner)
   return {
--- a/src/storeAccess/__tests__/pageSize.spec.ts
+++ b/src/storeAccess/__tests__/pageSize.spec.ts
@@ -2,7 +2,7 @@
 import { createPageSizes } from '../index.js'
 
 /** Reads twelve pages of a table over a link, so that the page size settles. */
-function readOver(bytesPerMs: number, bytesPerRow: number, latencyMs = 8) {
+function readPagesOver(bytesPerMs: number, bytesPerRow: number, latencyMs = 8) {
   const sizes = createPageSizes()
   const times: number[] = []
   for (let page = 0; page < 12; page++) {
@@ -16,11 +16,11 @@
 
 describe('createPageSizes', () => {
   it('grows to the largest page on a fast link', (t) => {
-    t.is(readOver(17_500, 1500).rows, 500)
+    t.is(readPagesOver(17_500, 1500).rows, 500)
   })
 
   it('keeps the time of a page on a slow link to a fraction of the lease', (t) => {
-    const { times } = readOver(175, 5000)
+    const { times } = readPagesOver(175, 5000)
     t.true(
       times.slice(1).every((ms) => ms <= 150),
       times.join(' '),
--- a/src/storeAccess/__tests__/storeAccess.spec.ts
+++ b/src/storeAccess/__tests__/storeAccess.spec.ts
@@ -30,7 +30,7 @@
       send: (peer, call) => answerPeerCall(nodes.get(peer)!, call),
       log,
     })
-    access.relayThrough(relay)
+    access.setRelay(relay)
   }
   t.teardown(() => {
     for (const access of nodes.values()) access.stop()
--- a/src/storeAccess/circuitBreaker.ts
+++ b/src/storeAccess/circuitBreaker.ts
@@ -56,9 +56,9 @@
   const probeMs = opts.probeMs ?? PROBE_MS
   const stopping = createStopController()
   const pending = new Set<Pending>()
-  let answeredAt = -Infinity
+  let lastAnswerAt = -Infinity
   /** Time at which bytes last arrived from the store, including parts of an answer. */
-  let heardAt = -Infinity
+  let lastBytesAt = -Infinity
   /** Time at which the breaker opened; undefined while it is closed. */
   let openSince: number | undefined
   let openReason = ''
@@ -107,8 +107,8 @@
   }
 
   const noteAnswer = (sentAt: number): void => {
-    answeredAt = monotonicMs()
-    heardAt = answeredAt
+    lastAnswerAt = monotonicMs()
+    lastBytesAt = lastAnswerAt
     // An answer to a call sent before the breaker opened does not show that the store works now.
     if (openSince !== undefined && sentAt >= openSince) close()
   }
@@ -129,7 +129,7 @@
     return new Promise((resolve) => {
       const sentAt = monotonicMs()
       const silence = watchSilence(silentMs + waitMs, () => {
-        if (heardAt < sentAt) open(SILENT)
+        if (lastBytesAt < sentAt) open(SILENT)
       })
       const finish = (answer: StoreAnswer): void => {
         silence.stop()
@@ -143,7 +143,7 @@
       void call().then((answer) => {
         if (isAnswered(answer)) noteAnswer(sentAt)
         // If another connection was answered since, the store works and the breaker stays closed.
-        else if (isBroken(answer) && answeredAt < sentAt) open(BROKEN)
+        else if (isBroken(answer) && lastAnswerAt < sentAt) open(BROKEN)
         finish(answer)
       })
     })
@@ -155,7 +155,7 @@
       if (openSince === undefined) return send(call, waitMs)
       return failedAnswer('unreachable', `not sent: ${openReason}`, STORE_PLACE)
     },
-    noteBytes: () => void (heardAt = monotonicMs()),
+    noteBytes: () => void (lastBytesAt = monotonicMs()),
     stop: () => stopping.abort(),
   }
 }
--- a/src/storeAccess/storeAccess.ts
+++ b/src/storeAccess/storeAccess.ts
@@ -22,7 +22,7 @@
   /** Makes a call on behalf of a peer; it is not relayed further. */
   callForPeer(call: StoreCall): Promise<StoreAnswer>
   /** Sets the relay to use when the store cannot be called directly. */
-  relayThrough(relay: StoreRelay): void
+  setRelay(relay: StoreRelay): void
   stop(): void
 }
 
@@ -77,7 +77,7 @@
     },
     // Does not wait for changes, which would block the connection of the peer.
     callForPeer: (call) => breaker.run(() => makeStoreCall(direct, call, 0)),
-    relayThrough: (given) => void (relay = given),
+    setRelay: (given) => void (relay = given),
     stop: () => breaker.stop(),
   }
 }
