--- a/src/jobs/__tests__/rows.spec.ts
+++ b/src/jobs/__tests__/rows.spec.ts
@@ -26,9 +26,9 @@
 
   const step = JOB.steps[0]!
   const wrong: [what: string, change: object][] = [
-    ['a job of another id', { id: '00000000000000ff' }],
-    ['a job of another queue', { queue: 'other' }],
-    ['an id with a dot', { id: 'a.b' }],
+    ['the id of another job', { id: '00000000000000ff' }],
+    ['the queue of another job', { queue: 'other' }],
+    ['a dot in the id', { id: 'a.b' }],
     ['no steps', { steps: [] }],
     ['a step that waits for a later one', { steps: [{ ...step, after: [0] }] }],
     // An owner that adds such a job runs out of memory, and so does each successor.
--- a/src/jobs/jobBook.ts
+++ b/src/jobs/jobBook.ts
@@ -1,7 +1,7 @@
 /**
  * State machine for the jobs of one service: decides which tasks may start, how the end of a
  * run changes its task, and when a job reaches its outcome. It sends no orders and writes no
- * rows; the callbacks `dropped` and `changed` ask for that.
+ * rows; callbacks of its options request both.
  */
 import type { ReportedEnd, RunEndKind } from '../ports/index.js'
 import { addCrash, noteUptime } from './crashes.js'
@@ -47,7 +47,7 @@
   ): Job
   /** Cancels a job; returns undefined if it is not in the book. */
   cancel(id: string): Job | undefined
-  /** Lets gated tasks start, of one job or of all: the previous owner's runs are known now. */
+  /** Lets the tasks of one job, or of all, start: the runs of the previous owner are known now. */
   openGate(only?: Job): void
   /** Keeps reported ends of a job that exists but cannot be added yet, until it is added. */
   hold(id: string): void
@@ -105,7 +105,7 @@
   const jobsNotFullyDue = new Set<Job>()
   /** Reported ends of held jobs, by job id. */
   const heldEnds = new Map<string, HeldEnd[]>()
-  /** Reported ends of jobs that are not in the book, while `mayMissJobs`; by job id. */
+  /** Reported ends of jobs that are not in the book, kept while jobs may be missing; by job id. */
   const unmatchedEnds = new Map<string, HeldEnd[]>()
   let mayMissJobs = false
 
