--- a/src/front/__tests__/questionBatches.spec.ts
+++ b/src/front/__tests__/questionBatches.spec.ts
@@ -4,7 +4,7 @@
 import type { NewQuestion } from '../questionBatches.js'
 
 const ADDRESS = '10.0.0.1:7060'
-/** Longest wait for an answer, in ms. */
+/** Time-out of a call, in ms. */
 const ANSWER_TIMEOUT_MS = 400
 
 const statusOf = (id: string): NewQuestion => ({
--- a/src/front/storedJobs.ts
+++ b/src/front/storedJobs.ts
@@ -61,7 +61,7 @@
   return { kind: 'ok', value: { service, cancelled, version: 0, outcome } }
 }
 
-/** Reads a job's row from the intake, and then from the ended table, where it moves at the end. */
+/** Reads a job's row from the intake or, if the job has finished, from the ended table. */
 export async function findStoredJob(
   store: RowStore,
   queue: Queue,
--- a/src/jobs/__tests__/rows.spec.ts
+++ b/src/jobs/__tests__/rows.spec.ts
@@ -1,4 +1,4 @@
-/** Decoding of job rows that our nodes did not write, or that were truncated or swapped. */
+/** Decoding of job rows that no node wrote, or that were truncated or swapped. */
 import fc from 'fast-check'
 import { describe, it } from '../../../test/describe.js'
 import { makeJob } from '../../../test/jobRig.js'
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -155,7 +155,7 @@
   return job.occurrences[Number(occurrence)]?.steps[Number(step)]?.tasks[Number(index)]
 }
 
-/** The job's id in a task's name. */
+/** Extracts the job id from a task's full name. */
 export const jobIdOf = (task: string): string => task.slice(0, task.indexOf('.'))
 
 /** Every task of a job. */
@@ -165,7 +165,7 @@
   }
 }
 
-/** Whether a step's dependencies are all done. */
+/** Whether the occurrence is due and all dependencies of the step are done. */
 export function isUnblocked(occurrence: Occurrence, step: Step): boolean {
   if (!occurrence.due) return false
   return step.spec.after.every((index) => isStepDone(occurrence.steps[index]))
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -112,7 +112,7 @@
   outcome: outcomeSchema,
   tasks: z.number(),
   acceptedAtMs: z.number(),
-  /** When the outcome was reached, by the wall clock of the owner; for clearing rows. */
+  /** Time of the outcome, in ms since 1970 by the owner's wall clock; used to clear old rows. */
   endedAtMs: z.number(),
 })
 /** A decoded row of a finished job. */
@@ -157,7 +157,7 @@
   /** Checkpoints of tasks that are not running, by task. */
   checkpoints: z.record(z.string(), z.string()),
   outcome: outcomeSchema.optional(),
-  /** When the outcome was reached, by the wall clock of the owner; for clearing rows. */
+  /** Time of the outcome, in ms since 1970 by the owner's wall clock; used to clear old rows. */
   endedAtMs: z.number().optional(),
 })
 /** A decoded progress row. */
--- a/src/jobs/schema.ts
+++ b/src/jobs/schema.ts
@@ -17,7 +17,7 @@
 /** One step: `count` equal tasks. */
 const stepSchema = z.object({
   count: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
-  /** Thousandths of a core that a task asks for. */
+  /** Processor time that a task requests, in thousandths of a core. */
   cpu: z.number().int().min(0).default(0),
   memMb: z.number().int().min(0).default(0),
   gpu: z.number().int().min(0).default(0),
@@ -52,7 +52,7 @@
 /** One step of a job. */
 export type StepSpec = z.infer<typeof stepSchema>
 
-/** Names of tasks begin with the job's id and a dot. */
+/** Excludes dots, because names of tasks begin with the job's id and a dot. */
 const jobIdSchema = idSchema.regex(/^[^.]+$/, 'a job id must not contain a dot')
 
 /** An accepted job. */
