--- a/src/front/questionBatches.ts
+++ b/src/front/questionBatches.ts
@@ -15,7 +15,7 @@
 const STEP = 'node.ask'
 /** Most questions in one call; they take a few ms of the other node's time. */
 const MAX_QUESTIONS_PER_CALL = 200
-/** Most text in one call: half of the largest message. */
+/** Most text in one call, in characters: in ASCII, half of the largest message. */
 const MAX_TEXT_PER_CALL = 512 * 1024
 
 /** Sends questions to other nodes, in batches. */
--- a/src/node/endpointServices.ts
+++ b/src/node/endpointServices.ts
@@ -14,7 +14,7 @@
 /** Longest wait for requests in flight during a planned stop, in ms. */
 const CLOSE_TIMEOUT_MS = 1000
 
-/** Serves metrics. If the port cannot be opened, the node runs without them. */
+/** Serves metrics. If the port cannot be opened, e.g. as it is in use, the node runs without. */
 export const metricsService = () =>
   defineService({
     name: 'metricsFace',
--- a/src/node/nodeServices.ts
+++ b/src/node/nodeServices.ts
@@ -26,7 +26,7 @@
   targetSourceService,
 } from './sourceServices.js'
 
-/** Creates the kernel of a node with all its services; none of them is started yet. */
+/** Creates the kernel of a node with all its services. */
 export function createNode(cfg: NodeConfig, platform: NodePlatform, log: Logger): Kernel {
   return createKernel(
     [
