--- a/src/directory/rowMirror.ts
+++ b/src/directory/rowMirror.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of one part of a table: a full read, then the changes. When the history
- * is gone it reads afresh; in an outage the copy stays as it is.
+ * Keeps a copy of one part of a table: a full read, then the changes. If the history of changes
+ * is compacted, it repeats the full read; during an outage the copy stays as it is.
  */
 import type { RowStore } from '../ports/index.js'
 import {
@@ -15,38 +15,41 @@
 /** Pause after a failed read, in ms; jittered. */
 const RETRY_MS = 200
 
-/** Without a read for so long there was a gap, in ms: some reads at the usual pace failed. */
-const GAP_MS = 1500
+/** Longest time between two successful reads without a gap, in ms; more means failed reads. */
+const MAX_READ_GAP_MS = 1500
 
 /** A copy that follows its table until it is stopped. */
 export interface RowMirror {
   /** Resolves once the first full read is done. */
   ready: Promise<void>
-  /** Steady time up to which the copy is known to be complete, in ms. */
+  /** Time up to which the copy is known to be complete, in ms of the monotonic clock. */
   freshAt(): number
-  /** Steady time since which it has been read without a gap, in ms. */
+  /** Time since which the table has been read without a gap, in ms of the monotonic clock. */
   steadySince(): number
   stop(): Promise<void>
 }
 
-/** What is copied, how often, and whom it tells. */
+/** Rows to copy, times and callbacks of a mirror. */
 export interface RowMirrorOptions {
   store: RowStore
   table: string
-  /** Undefined takes the changes of all parts, without a full read at the start. */
+  /** Part to copy; undefined follows the changes of all parts, without a full read. */
   part: string | undefined
-  /** Version to continue from, where there is no full read. */
+  /** Version from which to follow changes, if there is no full read. */
   after?: number
-  /** Time that the store may wait for a change before it answers, in ms. */
+  /** Longest time that the store waits for a change before it answers, in ms. */
   waitMs: number
   /** Pause between two reads, in ms. */
   pauseMs: number
   log: Logger
-  /** A row was written, or removed when the value is undefined. */
+  /** Called for each written row, and with an undefined value for each removed row. */
   onRow(part: string, key: string, value: string | undefined): void
-  /** After each read that brought something. */
+  /** Called after each full read, and after each read that returned changes. */
   onBatch?(): void
-  /** The history is gone where there is no full read; the caller must read by itself. */
+  /**
+   * Called if the history is compacted and there is no full read. The caller reads the rows itself
+   * and returns the version from which to continue; undefined if that failed.
+   */
   onGap?(): Promise<number | undefined>
 }
 
@@ -54,32 +57,32 @@
 export function createRowMirror(opts: RowMirrorOptions): RowMirror {
   const { store, table, part, log } = opts
   const stopping = createStopController()
-  const known = new Set<string>()
+  const knownKeys = new Set<string>()
   let version = opts.after
   let freshAt = -Infinity
   let steadySince = Infinity
-  let failing = false
-  /** The next read follows at once: this one has only found out from where to go on. */
-  let goesOn = false
+  let isFailing = false
+  /** Whether the next read follows at once, as this one only found the version to continue from. */
+  let skipPause = false
   let markReady: () => void = () => undefined
   const ready = new Promise<void>((resolve) => (markReady = resolve))
 
   const noteFailure = (reason: string): void => {
-    if (!failing) log.event('mirrorStale', { table, reason })
-    failing = true
+    if (!isFailing) log.event('mirrorStale', { table, reason })
+    isFailing = true
   }
 
   const apply = (rowPart: string, key: string, value: string | undefined): void => {
-    if (value === undefined) known.delete(key)
-    else known.add(key)
+    if (value === undefined) knownKeys.delete(key)
+    else knownKeys.add(key)
     opts.onRow(rowPart, key, value)
   }
 
   async function readAll(): Promise<boolean> {
     if (part === undefined) {
       version = await opts.onGap?.()
-      goesOn = version !== undefined
-      return goesOn
+      skipPause = version !== undefined
+      return skipPause
     }
     const res = await store.read(table, part)
     if (res.isErr()) {
@@ -87,7 +90,7 @@
       return false
     }
     const present = new Set(res.value.rows.map(({ key }) => key))
-    for (const key of [...known]) if (!present.has(key)) apply(part, key, undefined)
+    for (const key of [...knownKeys]) if (!present.has(key)) apply(part, key, undefined)
     for (const row of res.value.rows) apply(part, row.key, row.value)
     version = res.value.version
     opts.onBatch?.()
@@ -99,9 +102,9 @@
     const res = await store.changes(table, after, opts.waitMs)
     if (res.isErr()) {
       noteFailure(describeError(res.error))
-      goesOn = res.error.failure === 'compacted'
-      if (goesOn) version = undefined
-      return goesOn
+      skipPause = res.error.failure === 'compacted'
+      if (skipPause) version = undefined
+      return skipPause
     }
     version = res.value.version
     for (const change of res.value.changes) {
@@ -116,15 +119,16 @@
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       const sentAt = monotonicMs()
-      goesOn = false
+      skipPause = false
       const done = version === undefined ? await readAll() : await readChanges(version)
       if (done) {
-        if (sentAt - freshAt > GAP_MS) steadySince = sentAt
+        if (sentAt - freshAt > MAX_READ_GAP_MS) steadySince = sentAt
         freshAt = sentAt
-        if (failing && version !== undefined) log.event('mirrorFresh', { table })
-        failing = false
+        if (isFailing && version !== undefined) log.event('mirrorFresh', { table })
+        isFailing = false
       }
-      if (!goesOn) await sleep(done ? opts.pauseMs : jittered(RETRY_MS), stopping.signal)
+      if (!skipPause)
+        await sleep(done ? opts.pauseMs : jittered(RETRY_MS), stopping.signal)
     }
   }
   const task = run()
--- a/src/front/questionBatches.ts
+++ b/src/front/questionBatches.ts
@@ -1,61 +1,60 @@
 /**
- * Questions to other nodes, gathered: while a call to a node is under way, what is asked of
- * it meanwhile waits and goes with the next one. A call costs both ends about 1 ms of
- * processor time, whatever it carries, and an owner at its peak is asked some hundred
- * times a second.
+ * Batches questions to other nodes: while a call to a node is in flight, further questions to
+ * it wait for the next call. A call costs both ends about 1 ms of processor time regardless of
+ * its size, and an owner at its peak is asked some hundred times a second.
  */
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 import { PlatformError, describeError, monotonicMs } from '../shared/index.js'
 import type { Answer, Question } from '../peer/gen/node_pb.js'
 
-/** A question as it is asked; the generated type without its name. */
+/** A question without the fields that the generated code adds. */
 export type NewQuestion = Omit<Question, '$typeName' | '$unknown'>
 
-/** Names the call in errors. */
+/** Name of the call in errors. */
 const STEP = 'node.ask'
-/** Questions that one call carries at most: a few ms of the other node's time. */
-const QUESTIONS_PER_CALL = 200
-/** Bytes of text that one call carries at most: half of the largest message. */
-const TEXT_PER_CALL = 512 * 1024
+/** Most questions in one call; they take a few ms of the other node's time. */
+const MAX_QUESTIONS_PER_CALL = 200
+/** Most text in one call, in characters: in ASCII, half of the largest message. */
+const MAX_TEXT_PER_CALL = 512 * 1024
 
-/** Asks other nodes. */
+/** Sends questions to other nodes, in batches. */
 export interface QuestionBatches {
-  /** Asks the node at the address; an error when it does not answer in time. */
+  /** Asks the node at the address; an error if it does not answer in time. */
   ask(address: string, question: NewQuestion): Promise<Result<Answer, PlatformError>>
 }
 
-/** A question that waits for its call or for the answer. */
+/** A question that waits to be sent or answered. */
 interface Pending {
   question: NewQuestion
   askedAt: number
   settle(answer: Result<Answer, PlatformError>): void
 }
 
-/** What waits for one node. */
-interface Line {
+/** Questions that wait to be sent to one node. */
+interface PeerQueue {
   waiting: Pending[]
   isSending: boolean
 }
 
 const textOf = ({ about }: NewQuestion): string => about.value ?? ''
 
-/** Takes from the front as many as one call may carry, but one at least. */
+/** Removes from the front as many questions as fit into one call, and at least one. */
 function takeBatch(waiting: Pending[]): Pending[] {
   let text = 0
   let count = 0
   for (const { question } of waiting) {
     text += textOf(question).length
-    if (count > 0 && (text > TEXT_PER_CALL || count >= QUESTIONS_PER_CALL)) break
+    if (count > 0 && (text > MAX_TEXT_PER_CALL || count >= MAX_QUESTIONS_PER_CALL)) break
     count++
   }
   return waiting.splice(0, count)
 }
 
 /**
- * Creates the gathering; nothing is sent before the first question.
- * @param send calls a node; rejects when it does not answer in time
- * @param patienceMs longest wait for an answer, and for the call to begin
+ * Creates the batches; nothing is sent before the first question.
+ * @param send calls a node; rejects if it does not answer in time
+ * @param answerTimeoutMs longest wait for an answer, and longest wait to be sent, in ms
  */
 export function createQuestionBatches(
   send: (
@@ -63,9 +62,9 @@
     questions: NewQuestion[],
     timeoutMs: number,
   ) => Promise<Answer[]>,
-  patienceMs: number,
+  answerTimeoutMs: number,
 ): QuestionBatches {
-  const lines = new Map<string, Line>()
+  const queues = new Map<string, PeerQueue>()
 
   const failed = (address: string, reason: string): Result<Answer, PlatformError> => {
     const props = { step: STEP, peer: address, failure: 'unknown' as const }
@@ -75,10 +74,12 @@
   async function sendBatch(address: string, batch: Pending[]): Promise<void> {
     try {
       const questions = batch.map(({ question }) => question)
-      const answers = await send(address, questions, patienceMs)
+      const answers = await send(address, questions, answerTimeoutMs)
       for (const [index, each] of batch.entries()) {
-        const answer = answers[index]
-        each.settle(answer ? ok(answer) : failed(address, 'an answer is missing'))
+        const reply = answers[index]
+        each.settle(
+          reply ? ok(reply) : failed(address, 'the reply has no answer to this question'),
+        )
       }
     } catch (cause) {
       const reason = describeError(cause)
@@ -86,33 +87,34 @@
     }
   }
 
-  /** Fails what has waited so long that its caller has no more time for it. */
-  function failOld(address: string, line: Line): void {
-    const oldest = monotonicMs() - patienceMs
-    const old = line.waiting.filter(({ askedAt }) => askedAt < oldest)
-    if (old.length === 0) return
-    line.waiting = line.waiting.filter(({ askedAt }) => askedAt >= oldest)
-    for (const each of old) each.settle(failed(address, 'earlier calls took too long'))
+  /** Fails questions that have waited longer than their callers wait. */
+  function failExpired(address: string, line: PeerQueue): void {
+    const cutoff = monotonicMs() - answerTimeoutMs
+    const expired = line.waiting.filter(({ askedAt }) => askedAt < cutoff)
+    if (expired.length === 0) return
+    line.waiting = line.waiting.filter(({ askedAt }) => askedAt >= cutoff)
+    for (const each of expired)
+      each.settle(failed(address, 'timed out while earlier calls were in flight'))
   }
 
-  async function run(address: string, line: Line): Promise<void> {
+  async function sendQueued(address: string, line: PeerQueue): Promise<void> {
     line.isSending = true
     while (line.waiting.length > 0) {
       await sendBatch(address, takeBatch(line.waiting))
-      failOld(address, line)
+      failExpired(address, line)
     }
     line.isSending = false
   }
 
   return {
     ask(address, question) {
-      let line = lines.get(address)
-      if (!line) lines.set(address, (line = { waiting: [], isSending: false }))
+      let line = queues.get(address)
+      if (!line) queues.set(address, (line = { waiting: [], isSending: false }))
       const { waiting, isSending } = line
       const answer = new Promise<Result<Answer, PlatformError>>((settle) => {
         waiting.push({ question, askedAt: monotonicMs(), settle })
       })
-      if (!isSending) void run(address, line)
+      if (!isSending) void sendQueued(address, line)
       return answer
     },
   }
--- a/src/node/startOwner.ts
+++ b/src/node/startOwner.ts
@@ -1,4 +1,4 @@
-/** Starts what runs for a name that this node owns: the fleet's owner or a service's. */
+/** Starts the owner of a name that this node has claimed: the fleet or a service. */
 import type { NodeConfig } from '../config/index.js'
 import type { ConfigurationHolder, TargetSource } from '../directory/index.js'
 import { FLEET } from '../ownership/index.js'
@@ -11,8 +11,8 @@
 import type { OwnerTable } from './ownerTable.js'
 import type { NodePlatform } from './serviceMap.js'
 
-/** What owners of either kind work with. */
-export interface OwnerParts {
+/** Dependencies of both kinds of owners. */
+export interface OwnerDependencies {
   cfg: NodeConfig
   platform: NodePlatform
   store: RowStore
@@ -22,8 +22,11 @@
   log: Logger
 }
 
-async function startFleet(parts: OwnerParts, authority: Authority): Promise<Owner> {
-  const { cfg, platform, store, configuration, owners, log } = parts
+async function startFleet(
+  dependencies: OwnerDependencies,
+  authority: Authority,
+): Promise<Owner> {
+  const { cfg, platform, store, configuration, owners, log } = dependencies
   const { cloud, documents } = platform
   if (!cloud) throw new KernelError('no cloud is configured')
   const fleet = createFleetOwner({
@@ -46,8 +49,11 @@
   }
 }
 
-async function startService(parts: OwnerParts, authority: Authority): Promise<Owner> {
-  const { platform, store, configuration, targets, owners, log } = parts
+async function startService(
+  dependencies: OwnerDependencies,
+  authority: Authority,
+): Promise<Owner> {
+  const { platform, store, configuration, targets, owners, log } = dependencies
   const { orders, cloud, advice } = platform
   const list = targets.acquire()
   await list.ready
@@ -60,7 +66,7 @@
     targets: list,
     authority,
     log,
-    demandGrown: () => owners.demandGrown(authority.service),
+    demandGrown: () => owners.emitDemandGrown(authority.service),
   })
   owners.add(owner)
   return {
@@ -73,12 +79,12 @@
   }
 }
 
-/** Starts the owner that an authority is for. */
+/** Starts the owner for the service, or the fleet, of the authority. */
 export async function startOwner(
-  parts: OwnerParts,
+  dependencies: OwnerDependencies,
   authority: Authority,
 ): Promise<Owner> {
-  parts.owners.claim(authority.service)
+  dependencies.owners.claim(authority.service)
   const start = authority.service === FLEET ? startFleet : startService
-  return start(parts, authority)
+  return start(dependencies, authority)
 }
--- a/src/storeAccess/peerRelay.ts
+++ b/src/storeAccess/peerRelay.ts
@@ -1,15 +1,15 @@
 /**
- * Finds a peer that reaches the store, and has it make calls for this node. One peer
- * serves until it fails; while none is known, calls fail fast instead of trying each.
+ * Relays store calls through a peer that reaches the store. One peer is used until a call to it
+ * fails. While no peer is known, calls fail after a short wait instead of trying every peer.
  */
 import { describeError, monotonicMs, parseJson, sleep } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import {
-  FIND_PAUSE_MAX_MS,
-  FIND_PAUSE_MS,
-  FIND_STEP_MS,
-  FIND_TIMEOUT_MS,
-  FIND_WAIT_MS,
+  PEER_SEARCH_PAUSE_MAX_MS,
+  PEER_SEARCH_PAUSE_MS,
+  PEER_SEARCH_POLL_MS,
+  PEER_PROBE_TIMEOUT_MS,
+  PEER_SEARCH_WAIT_MS,
   RELAY_TIMEOUT_MS,
 } from './constants.js'
 import type { StoreAccess, StoreRelay } from './storeAccess.js'
@@ -22,27 +22,27 @@
 } from './storeCall.js'
 import type { StoreAnswer, StoreCall } from './storeCall.js'
 
-/** Names the relay in errors. */
+/** Name of the relay in errors. */
 const STEP = 'store.relay'
 
-/** What the relay needs of the other nodes. */
+/** Access of the relay to the other nodes. */
 export interface PeerRelayOptions {
-  /** Addresses of nodes that may help, the best ones first. */
+  /** Addresses of the nodes to ask in a search. */
   peers(): string[]
-  /** Sends a call, as text, to a peer and brings its answer; rejects when that fails. */
+  /** Sends an encoded call to a peer and resolves with its encoded answer; rejects on failure. */
   send(address: string, call: string, timeoutMs: number): Promise<string>
   log: Logger
 }
 
-/** Creates the relay of one node; it looks for a peer when it is first needed. */
+/** Creates the relay of one node; the first call starts the search for a peer. */
 export function createPeerRelay(opts: PeerRelayOptions): StoreRelay {
   const { log } = opts
-  /** Address of the peer that serves now. */
-  let chosen: string | undefined
+  /** Address of the peer in use; undefined if none is known. */
+  let currentPeer: string | undefined
   let search: Promise<void> | undefined
   let searchedAt = -Infinity
-  /** Time to the next search; longer after each that found nobody. */
-  let pauseMs = FIND_PAUSE_MS
+  /** Time until the next search may start, in ms; doubled after each search without a result. */
+  let pauseMs = PEER_SEARCH_PAUSE_MS
 
   async function ask(
     address: string,
@@ -58,47 +58,52 @@
     }
   }
 
-  /** Takes the first peer that shows that it reaches the store. */
-  async function find(): Promise<void> {
+  /** Probes the store through several peers and selects the first that succeeds. */
+  async function findPeer(): Promise<void> {
     searchedAt = monotonicMs()
     await Promise.all(
       opts.peers().map(async (address) => {
-        const answer = await ask(address, PROBE, FIND_TIMEOUT_MS)
-        if (answer.isErr() || chosen !== undefined) return
-        chosen = address
-        pauseMs = FIND_PAUSE_MS
+        const answer = await ask(address, PROBE, PEER_PROBE_TIMEOUT_MS)
+        if (answer.isErr() || currentPeer !== undefined) return
+        currentPeer = address
+        pauseMs = PEER_SEARCH_PAUSE_MS
         log.event('storePeerFound', { peer: address })
       }),
     )
-    if (chosen === undefined) pauseMs = Math.min(2 * pauseMs, FIND_PAUSE_MAX_MS)
+    if (currentPeer === undefined)
+      pauseMs = Math.min(2 * pauseMs, PEER_SEARCH_PAUSE_MAX_MS)
   }
 
-  const isSearching = (): boolean => chosen === undefined && search !== undefined
+  const isSearching = (): boolean => currentPeer === undefined && search !== undefined
 
-  /** Resolves once a peer is known, or after a short wait. */
+  /** Resolves once a peer is known, the search has ended, or `PEER_SEARCH_WAIT_MS` have passed. */
   async function ensurePeer(): Promise<void> {
-    if (chosen !== undefined) return
+    if (currentPeer !== undefined) return
     if (!search && monotonicMs() - searchedAt > pauseMs) {
-      search = find().finally(() => (search = undefined))
+      search = findPeer().finally(() => (search = undefined))
     }
-    const endsAt = monotonicMs() + FIND_WAIT_MS
-    while (isSearching() && monotonicMs() < endsAt) await sleep(FIND_STEP_MS)
+    const endsAt = monotonicMs() + PEER_SEARCH_WAIT_MS
+    while (isSearching() && monotonicMs() < endsAt) await sleep(PEER_SEARCH_POLL_MS)
   }
 
   return async (call) => {
     await ensurePeer()
-    const address = chosen
+    const address = currentPeer
     if (address === undefined) return undefined
     const answer = await ask(address, call, RELAY_TIMEOUT_MS)
-    if (answer.isErr() && answer.error.failure !== 'compacted' && chosen === address) {
-      chosen = undefined
+    if (
+      answer.isErr() &&
+      answer.error.failure !== 'compacted' &&
+      currentPeer === address
+    ) {
+      currentPeer = undefined
       log.event('storePeerLost', { peer: address, reason: describeError(answer.error) })
     }
     return answer
   }
 }
 
-/** The other side of the relay: makes a peer's call, given as text, and answers as text. */
+/** Makes an encoded call on behalf of a peer, and returns the encoded answer. */
 export async function answerPeerCall(access: StoreAccess, text: string): Promise<string> {
   const call = storeCallSchema.safeParse(parseJson(text))
   if (call.success) return encodeAnswer(await access.callForPeer(call.data))
