--- a/src/scheduler/__tests__/badRuns.spec.ts
+++ b/src/scheduler/__tests__/badRuns.spec.ts
@@ -49,7 +49,7 @@
     report(agent, 3400, 80)
     t.is(badRuns.sweep([agent]).length, 1)
     t.is(suspicion.standingOf(agent), 'suspect')
-    suspicion.pardon(() => true)
+    suspicion.retractEvidence(() => true)
     t.is(badRuns.sweep([agent]).length, 1)
     t.is(suspicion.standingOf(agent), 'sound')
   })
@@ -60,9 +60,9 @@
     report(agent, 30_000, 3)
     badRuns.sweep([agent])
     report(agent, 50_000, 3)
-    t.false(badRuns.sweep([agent]).some(({ anywhere }) => anywhere))
+    t.false(badRuns.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
     report(agent, 61_000, 3)
-    t.true(badRuns.sweep([agent]).some(({ anywhere }) => anywhere))
+    t.true(badRuns.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
   })
 
   describe('slow run', () => {
--- a/src/scheduler/__tests__/pacedUrgencies.spec.ts
+++ b/src/scheduler/__tests__/pacedUrgencies.spec.ts
@@ -8,7 +8,10 @@
 const PER_SECOND = 10
 
 /** Places of jobs of four tasks each, of which the first is the oldest. */
-function placeJobs(count: number, prepare: (jobs: Job[]) => void = () => undefined) {
+function computeUrgencies(
+  count: number,
+  prepare: (jobs: Job[]) => void = () => undefined,
+) {
   const book = createStillBook()
   const jobs = Array.from({ length: count }, () =>
     book.add(makeJob({ ms: 500 }, [{ count: 4 }])),
@@ -16,35 +19,38 @@
   for (const [index, job] of jobs.entries()) job.arrivedAt = index
   prepare(jobs)
   const runTimes = createRunTimes()
-  const places = pacedUrgencies({
+  const urgencies = pacedUrgencies({
     ready: book.ready,
     perSecond: PER_SECOND,
     urgencyOf: (job, delayMs) => urgencyOf(job, QUEUE, runTimes, count, delayMs),
   })
-  return { jobs, places }
+  return { jobs, urgencies }
 }
 
 describe('pacedUrgencies', () => {
   describe('for more jobs than their owner can order in time', () => {
     it('leaves in time only those that it can finish in time', (t) => {
-      const { jobs, places } = placeJobs(20)
-      const inTime = jobs.filter((job) => places.get(job)?.standing === 'timely')
+      const { jobs, urgencies } = computeUrgencies(20)
+      const inTime = jobs.filter((job) => urgencies.get(job)?.standing === 'timely')
       t.true(inTime.length > 0 && inTime.length < 5)
     })
 
     it('finishes what has begun before it begins another job', (t) => {
-      const { jobs, places } = placeJobs(20, (all) => (all.at(-1)!.begun = true))
+      const { jobs, urgencies } = computeUrgencies(
+        20,
+        (all) => (all.at(-1)!.begun = true),
+      )
       const first = [...jobs].sort((a, b) =>
-        compareUrgency(places.get(a)!, places.get(b)!),
+        compareUrgency(urgencies.get(a)!, urgencies.get(b)!),
       )
-      t.is(places.get(jobs.at(-1)!)?.standing, 'timely')
-      t.is(places.get(first[0]!)?.standing, 'timely')
+      t.is(urgencies.get(jobs.at(-1)!)?.standing, 'timely')
+      t.is(urgencies.get(first[0]!)?.standing, 'timely')
     })
   })
 
   describe('for jobs that come too late in any case', () => {
     it('lets the one begin that has stood still for longest, with one task', (t) => {
-      const { jobs, places } = placeJobs(20, (all) => {
+      const { jobs, urgencies } = computeUrgencies(20, (all) => {
         for (const [index, job] of all.entries()) {
           job.arrivedAt = -60_000
           job.idleSince = index
@@ -53,18 +59,18 @@
         all[0]!.placed = 1
       })
       const order = [...jobs].sort((a, b) =>
-        compareUrgency(places.get(a)!, places.get(b)!),
+        compareUrgency(urgencies.get(a)!, urgencies.get(b)!),
       )
       t.is(order[0], jobs.at(-1))
       t.is(order.at(-1), jobs[0])
-      t.is(places.get(order[0]!)?.mostStarts, 1)
+      t.is(urgencies.get(order[0]!)?.maxStarts, 1)
     })
   })
 
   describe('for jobs that can all be ordered in time', () => {
     it('leaves all of them in time', (t) => {
-      const { jobs, places } = placeJobs(2)
-      t.true(jobs.every((job) => places.get(job)?.standing === 'timely'))
+      const { jobs, urgencies } = computeUrgencies(2)
+      t.true(jobs.every((job) => urgencies.get(job)?.standing === 'timely'))
     })
   })
 })
--- a/src/scheduler/__tests__/planner.spec.ts
+++ b/src/scheduler/__tests__/planner.spec.ts
@@ -200,13 +200,13 @@
           mayTry: () => false,
           planned: () => undefined,
         }
-        const quick = planStarts({ ...input, isSpecial: () => false })
-        const naive = planStarts({ ...input, isSpecial: () => true })
+        const cached = planStarts({ ...input, isSpecial: () => false })
+        const uncached = planStarts({ ...input, isSpecial: () => true })
         t.deepEqual(
-          quick.starts.map(({ task, agent }) => [task.name, agent.target.id]),
-          naive.starts.map(({ task, agent }) => [task.name, agent.target.id]),
+          cached.starts.map(({ task, agent }) => [task.name, agent.target.id]),
+          uncached.starts.map(({ task, agent }) => [task.name, agent.target.id]),
         )
-        t.deepEqual(quick.waiting, naive.waiting)
+        t.deepEqual(cached.waiting, uncached.waiting)
       }),
     )
   })
--- a/src/scheduler/__tests__/refusedDemand.spec.ts
+++ b/src/scheduler/__tests__/refusedDemand.spec.ts
@@ -12,7 +12,7 @@
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
 import type { JobRig, RigOwner } from '../../../test/jobRig.js'
 
-const makeSome = (count: number) =>
+const makeJobs = (count: number) =>
   Array.from({ length: count }, () => makeJob({ ms: 400, cpu: 2000 }, [{ count: 8 }]))
 
 async function withOwner(
@@ -30,7 +30,7 @@
       await withOwner((owner) => {
         owner.confirmed = confirmed
         t.is(owner.report().neededCpu, 0)
-        for (const job of makeSome(10)) owner.expect(job)
+        for (const job of makeJobs(10)) owner.expect(job)
         t.true(owner.report().timelyCpu > 0)
       })
     }
@@ -38,7 +38,7 @@
 
   it('are not run and not counted as waiting', async (t) => {
     await withOwner(async (owner, rig) => {
-      const [job] = makeSome(1)
+      const [job] = makeJobs(1)
       owner.expect(job!)
       t.is(owner.status(job!.id), undefined)
       t.is(owner.waiting(job!.queue), 0)
@@ -49,7 +49,7 @@
 
   it('count once, however often their callers try', async (t) => {
     await withOwner((owner) => {
-      const jobs = makeSome(10)
+      const jobs = makeJobs(10)
       for (const job of jobs) owner.expect(job)
       const once = owner.report().neededCpu
       for (const job of jobs) owner.expect(job)
--- a/src/scheduler/__tests__/roomLimits.spec.ts
+++ b/src/scheduler/__tests__/roomLimits.spec.ts
@@ -24,12 +24,12 @@
 /** Highest CPU use of concurrent runs, including those that are stopping. */
 function peakCpu(rig: JobRig): number {
   let used = 0
-  let most = 0
+  let peak = 0
   for (const { what } of rig.ledger.entries) {
     used += what === 'start' ? TASK_CPU : -TASK_CPU
-    most = Math.max(most, used)
+    peak = Math.max(peak, used)
   }
-  return most
+  return peak
 }
 
 describe('target that does not enforce its capacity', () => {
--- a/src/scheduler/__tests__/startWindow.spec.ts
+++ b/src/scheduler/__tests__/startWindow.spec.ts
@@ -29,7 +29,7 @@
       }
     },
     inFlight: () => inFlight.length,
-    rest: (ms: number) => void (now += ms),
+    idle: (ms: number) => void (now += ms),
   }
 }
 
@@ -68,7 +68,7 @@
     it('ends that once starts are answered in time', (t) => {
       const owner = createOwner(15)
       owner.run(6000)
-      owner.rest(3000)
+      owner.idle(3000)
       t.false(owner.window.isBehind())
     })
   })
--- a/src/scheduler/__tests__/suspicion.spec.ts
+++ b/src/scheduler/__tests__/suspicion.spec.ts
@@ -17,33 +17,33 @@
 
 function start() {
   const suspicion = createSuspicion(createMemoryLogger())
-  const end = (agent: TargetAgent, tasks: Task[], failed: boolean): void => {
+  const endTasks = (agent: TargetAgent, tasks: Task[], failed: boolean): void => {
     for (const task of tasks) suspicion.noteEnd(agent, task, failed, false)
   }
-  return { suspicion, end }
+  return { suspicion, endTasks }
 }
 
 describe('createSuspicion', () => {
   it('suspects a target where tasks of several jobs fail, not of one', (t) => {
-    const { suspicion, end } = start()
+    const { suspicion, endTasks } = start()
     const agent = agentOf('t1')
-    end(agent, newTasks(), true)
+    endTasks(agent, newTasks(), true)
     t.is(suspicion.standingOf(agent), 'sound')
-    end(agent, newTasks().slice(0, 1), true)
+    endTasks(agent, newTasks().slice(0, 1), true)
     t.is(suspicion.standingOf(agent), 'suspect')
   })
 
   it('trusts a target again where a task that began under suspicion was done', (t) => {
-    const { suspicion, end } = start()
+    const { suspicion, endTasks } = start()
     const agent = agentOf('t1')
-    for (const tasks of [newTasks(), newTasks()]) end(agent, tasks.slice(0, 1), true)
+    for (const tasks of [newTasks(), newTasks()]) endTasks(agent, tasks.slice(0, 1), true)
     const before = newTasks().slice(0, 1)
     before[0]!.startedAt = -1000
-    end(agent, before, false)
+    endTasks(agent, before, false)
     t.is(suspicion.standingOf(agent), 'suspect')
     const after = newTasks().slice(0, 1)
     after[0]!.startedAt = Infinity
-    end(agent, after, false)
+    endTasks(agent, after, false)
     t.is(suspicion.standingOf(agent), 'sound')
   })
 
@@ -51,46 +51,46 @@
   // suspicion nearly all the time, and jobs that had twelve attempts had no end after 30 s.
   describe('a step that fails by itself', () => {
     it('is told by other jobs that are done on the only target', (t) => {
-      const { suspicion, end } = start()
+      const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
       const bad = [newTasks(), newTasks()]
       for (const tasks of bad) {
-        end(agent, tasks.slice(0, 1), true)
-        end(agent, newTasks(), false)
-        end(agent, tasks.slice(1, 3), true)
+        endTasks(agent, tasks.slice(0, 1), true)
+        endTasks(agent, newTasks(), false)
+        endTasks(agent, tasks.slice(1, 3), true)
       }
       t.is(suspicion.standingOf(agent), 'sound')
-      t.true(bad.every(([task]) => suspicion.failsByItself(task!.step)))
+      t.true(bad.every(([task]) => suspicion.isFaulty(task!.step)))
     })
 
     it('is not told by what was done before the target turned bad', (t) => {
-      const { suspicion, end } = start()
+      const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
-      for (let each = 0; each < 2; each++) end(agent, newTasks().slice(0, 2), false)
+      for (let each = 0; each < 2; each++) endTasks(agent, newTasks().slice(0, 2), false)
       const bad = [newTasks(), newTasks()]
-      for (const tasks of bad) end(agent, tasks, true)
+      for (const tasks of bad) endTasks(agent, tasks, true)
       t.is(suspicion.standingOf(agent), 'suspect')
-      t.false(bad.some(([task]) => suspicion.failsByItself(task!.step)))
+      t.false(bad.some(([task]) => suspicion.isFaulty(task!.step)))
     })
 
     it('is no evidence once it has failed where others are done', (t) => {
-      const { suspicion, end } = start()
+      const { suspicion, endTasks } = start()
       const [first, second] = [agentOf('t1'), agentOf('t2')]
       const bad = [newTasks(), newTasks()]
-      for (const tasks of bad) end(first, tasks.slice(0, 1), true)
+      for (const tasks of bad) endTasks(first, tasks.slice(0, 1), true)
       t.is(suspicion.standingOf(first), 'suspect')
-      for (const tasks of bad) end(second, tasks.slice(1, 2), true)
-      end(second, newTasks(), false)
+      for (const tasks of bad) endTasks(second, tasks.slice(1, 2), true)
+      endTasks(second, newTasks(), false)
       t.is(suspicion.standingOf(first), 'sound')
       t.is(suspicion.standingOf(second), 'sound')
     })
 
     it('is not told where nothing else is done', (t) => {
-      const { suspicion, end } = start()
+      const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
       const tasks = newTasks()
-      end(agent, tasks, true)
-      t.false(suspicion.failsByItself(tasks[0]!.step))
+      endTasks(agent, tasks, true)
+      t.false(suspicion.isFaulty(tasks[0]!.step))
     })
   })
 })
--- a/src/scheduler/__tests__/waitWatch.spec.ts
+++ b/src/scheduler/__tests__/waitWatch.spec.ts
@@ -7,15 +7,15 @@
 import type { EventName } from '../../shared/index.js'
 
 /** Three looks beyond the second after which a wait is told. */
-const TOLD_WITHIN_MS = 1800
+const REPORTED_WITHIN_MS = 1800
 /** Longest wait for a line on a busy machine, in ms. */
-const PATIENCE_MS = 10_000
+const MAX_WAIT_MS = 10_000
 
 const linesOf = ({ log }: JobRig, event: EventName) =>
   log.events.filter(({ name }) => name === event).map(({ fields }) => fields)
 
 async function firstLine(rig: JobRig, event: EventName) {
-  const endsAt = performance.now() + PATIENCE_MS
+  const endsAt = performance.now() + MAX_WAIT_MS
   while (linesOf(rig, event).length === 0 && performance.now() < endsAt) await sleep(20)
   return linesOf(rig, event)[0]
 }
@@ -35,8 +35,8 @@
       couldRunOn: 0,
     })
     t.deepEqual(linesOf(rig, 'jobStalled'), [])
-    const told = waitReportSchema.parse(owner.explain(job.id))
-    t.like(told, { task: `${job.id}.0.0.0`, holds: { size: 2 }, couldRunOn: 0 })
+    const report = waitReportSchema.parse(owner.explain(job.id))
+    t.like(report, { task: `${job.id}.0.0.0`, holds: { size: 2 }, couldRunOn: 0 })
     t.is(owner.explain('0123456789abcdef'), undefined)
     await rig.stop()
   })
@@ -59,7 +59,7 @@
     rig.addTarget('t1')
     const owner = await rig.own()
     rig.submit(owner, makeJob({ ms: 3000, cpu: 1500 }, [{ count: 4 }]))
-    await sleep(TOLD_WITHIN_MS)
+    await sleep(REPORTED_WITHIN_MS)
     t.deepEqual(linesOf(rig, 'taskWaits'), [])
     await rig.stop()
   })
--- a/src/scheduler/badRuns.ts
+++ b/src/scheduler/badRuns.ts
@@ -13,33 +13,33 @@
 /** A task whose percent stands still for so long hangs, in ms: two long polls. */
 const STALL_MS = 2300
 /** One that takes longer for a percent hangs after so many times as long. */
-const STALL_POINTS = 3
+const STALL_FACTOR = 3
 /**
  * A run that hangs with nowhere else to go begins anew where it is after so long, in ms: hanging
  * may be the run's alone. By then a VM that was asked for would have come (3 s).
  */
-const ANEW_AFTER_MS = 10_000
+const RESTART_IN_PLACE_AFTER_MS = 10_000
 /** Moves of one task after which the time above is not doubled any more. */
 const MAX_DOUBLINGS = 3
 /** A task is slow when it has got on by less than this part of what is usual. */
 const SLOW_PACE = 0.3
 /** A task that has got so far, in percent, is left to end. */
-const NEARLY_DONE = 95
+const NEARLY_DONE_PERCENT = 95
 /** A target on which others get on by this part of what is usual is not slow. */
-const USUAL_PACE = 0.5
+const NORMAL_PACE = 0.5
 /** A step is faster elsewhere when it gets on so many times as fast there. */
-const FASTER = 2
+const FASTER_FACTOR = 2
 /** Nothing is said of a task's speed before it has run so long, in ms. */
-const SPEED_AFTER_MS = 1200
+const MIN_MEASURED_RUN_MS = 1200
 /** Slow tasks at the same time that bring a target under suspicion. */
-const SUSPECT_SLOW = 2
+const MIN_SLOW_RUNS = 2
 /**
  * A task is moved so often for being slow, by whose fault that is: each move throws away what
  * it has done, and one whose fault is not known tells by being slow again.
  */
-const MAX_SLOW_MOVES: Record<Verdict, number> = { target: 2, unclear: 1, job: 0 }
+const MAX_SLOW_MOVES: Record<Cause, number> = { target: 2, unclear: 1, job: 0 }
 /** Targets on which a step was slow that are kept: some tell as much as all. */
-const MAX_BAD_ON = 8
+const MAX_BAD_TARGETS = 8
 /** Time for which the speed of a run that is done speaks for its target, in ms. */
 const RECENT_MS = 8000
 /** Runs done that are kept for each target. */
@@ -51,7 +51,7 @@
   placement: Placement
   task: Task
   /** Whether it is stopped also where no other target has room, to begin anew there. */
-  anywhere: boolean
+  mayRestartInPlace: boolean
 }
 
 /** The runs of one service that are looked at. */
@@ -77,7 +77,7 @@
 }
 
 /** A run of a step, by its start. */
-type Since = Pick<Task, 'step' | 'startedAt'>
+type RunStart = Pick<Task, 'step' | 'startedAt'>
 
 /** How fast runs get on, grouped once a look: each run is compared with few. */
 interface Paces {
@@ -86,15 +86,15 @@
 }
 
 /** Whose fault it is that a run is slow. */
-type Verdict = 'target' | 'job' | 'unclear'
+type Cause = 'target' | 'job' | 'unclear'
 
 interface SlowRun extends BadRun {
-  verdict: Verdict
+  cause: Cause
 }
 
 interface StalledRun extends BadRun {
   /** Whether the step stands still on a second target where others get on. */
-  ownFault: boolean
+  isStepFaulty: boolean
 }
 
 interface Progress {
@@ -107,12 +107,12 @@
   const progress = new WeakMap<Placement, Progress>()
   const moves = new WeakMap<Task, number>()
   /** Targets on which a step was slow or stood still. */
-  const badOn = new WeakMap<Step, Set<TargetAgent>>()
+  const badTargets = new WeakMap<Step, Set<TargetAgent>>()
   /** Steps whose tasks are slow by nature. */
-  const longSteps = new WeakSet<Step>()
+  const longRunningSteps = new WeakSet<Step>()
   const done = new Map<TargetAgent, Pace[]>()
   /** Runs that stood still and have been held against their target, once each. */
-  const accusers = new WeakSet<Placement>()
+  const countedStalls = new WeakSet<Placement>()
 
   const movesOf = (task: Task): number => moves.get(task) ?? 0
 
@@ -129,7 +129,7 @@
     }
     const pointMs = percent > 0 ? (before.since - task.startedAt) / percent : 0
     const doubled = 2 ** Math.min(MAX_DOUBLINGS, movesOf(task))
-    const limitMs = Math.max(STALL_MS, STALL_POINTS * pointMs) * doubled
+    const limitMs = Math.max(STALL_MS, STALL_FACTOR * pointMs) * doubled
     const ms = reportedAt - before.since
     return ms > limitMs ? ms : 0
   }
@@ -137,9 +137,9 @@
   /** How fast a run gets on; undefined before that can be said. */
   function paceOf(agent: TargetAgent, placement: Placement): Pace | undefined {
     const { task, state, reportedAt, percent } = placement
-    if (!task || state !== 'running' || !isJudged(task.step)) return undefined
+    if (!task || state !== 'running' || !hasMeasurableSpeed(task.step)) return undefined
     const ranMs = reportedAt - task.startedAt
-    if (ranMs < SPEED_AFTER_MS || !runTimes.knows(task.step)) return undefined
+    if (ranMs < MIN_MEASURED_RUN_MS || !runTimes.knows(task.step)) return undefined
     const pace = (percent * runTimes.meanOf(task.step)) / (100 * ranMs)
     return { step: task.step, agent, pace, startedAt: task.startedAt, at: reportedAt }
   }
@@ -154,40 +154,40 @@
    * How other jobs, that are not long by nature, have got on there since a run began: what was
    * done before says nothing of a target that has turned slow.
    */
-  const othersOn = (agent: TargetAgent, run: Since, all: Paces): Pace[] =>
+  const otherJobsOn = (agent: TargetAgent, run: RunStart, all: Paces): Pace[] =>
     (all.byAgent.get(agent) ?? []).filter(
       ({ step, at }) =>
-        at >= run.startedAt && step.job !== run.step.job && !longSteps.has(step),
+        at >= run.startedAt && step.job !== run.step.job && !longRunningSteps.has(step),
     )
 
-  const isUsualFor = (others: Pace[]): boolean =>
-    others.length > 0 && medianOf(others) >= USUAL_PACE
+  const isNormalPace = (others: Pace[]): boolean =>
+    others.length > 0 && medianOf(others) >= NORMAL_PACE
 
   /** Whether the step is as bad on another target, where other jobs get on as usual. */
-  const isBadWhereOthersAreNot = (run: Since, agent: TargetAgent, all: Paces): boolean =>
-    [...(badOn.get(run.step) ?? [])].some(
-      (other) => other !== agent && isUsualFor(othersOn(other, run, all)),
+  const isBadAmongNormalRuns = (run: RunStart, agent: TargetAgent, all: Paces): boolean =>
+    [...(badTargets.get(run.step) ?? [])].some(
+      (other) => other !== agent && isNormalPace(otherJobsOn(other, run, all)),
     )
 
   /** Whose fault it is that a step is slow on a target. */
-  function judge(run: Pace, all: Paces): Verdict {
+  function findCause(run: Pace, all: Paces): Cause {
     const { step, pace, agent } = run
-    if (longSteps.has(step)) return 'job'
+    if (longRunningSteps.has(step)) return 'job'
     const ofStep = all.byStep.get(step) ?? []
     const elsewhere = ofStep.filter((each) => each.agent !== agent)
-    if (elsewhere.some((each) => each.pace >= pace * FASTER)) return 'target'
-    const others = othersOn(agent, run, all)
-    if (others.length > 0) return isUsualFor(others) ? 'job' : 'target'
-    return isBadWhereOthersAreNot(run, agent, all) ? 'job' : 'unclear'
+    if (elsewhere.some((each) => each.pace >= pace * FASTER_FACTOR)) return 'target'
+    const others = otherJobsOn(agent, run, all)
+    if (others.length > 0) return isNormalPace(others) ? 'job' : 'target'
+    return isBadAmongNormalRuns(run, agent, all) ? 'job' : 'unclear'
   }
 
   function noteBad(step: Step, agent: TargetAgent): void {
-    const known = badOn.get(step) ?? new Set()
-    if (known.size < MAX_BAD_ON) badOn.set(step, known.add(agent))
+    const known = badTargets.get(step) ?? new Set()
+    if (known.size < MAX_BAD_TARGETS) badTargets.set(step, known.add(agent))
   }
 
   /** Whether the rest takes longer than the whole would elsewhere, and its way there. */
-  function isSlowerThanAnew({ step, pace }: Pace, percent: number): boolean {
+  function isSlowerThanRestart({ step, pace }: Pace, percent: number): boolean {
     const leftMs =
       ((100 - percent) / 100) * (runTimes.meanOf(step) / Math.max(pace, 1e-3))
     return leftMs > 2 * runTimes.meanOf(step)
@@ -199,12 +199,13 @@
     for (const placement of agent.placements.values()) {
       const { task, percent } = placement
       const own = paceOf(agent, placement)
-      if (!task || !own || own.pace >= SLOW_PACE || percent >= NEARLY_DONE) continue
-      if (!isSlowerThanAnew(own, percent)) continue
-      const verdict = judge(own, all)
+      if (!task || !own || own.pace >= SLOW_PACE || percent >= NEARLY_DONE_PERCENT)
+        continue
+      if (!isSlowerThanRestart(own, percent)) continue
+      const cause = findCause(own, all)
       noteBad(task.step, agent)
-      if (verdict === 'job') longSteps.add(task.step)
-      else found.push({ agent, placement, task, verdict, anywhere: false })
+      if (cause === 'job') longRunningSteps.add(task.step)
+      else found.push({ agent, placement, task, cause, mayRestartInPlace: false })
     }
     return found
   }
@@ -214,12 +215,12 @@
     for (const placement of agent.placements.values()) {
       const { task, state, reportedAt } = placement
       if (!task || state !== 'running' || reportedAt === 0) continue
-      const ms = isJudged(task.step) ? stalledMs(placement, task) : 0
+      const ms = hasMeasurableSpeed(task.step) ? stalledMs(placement, task) : 0
       if (ms === 0) continue
-      const othersGetOn = isUsualFor(othersOn(agent, task, all))
-      const ownFault = othersGetOn && isBadWhereOthersAreNot(task, agent, all)
-      const anywhere = othersGetOn || ms > ANEW_AFTER_MS
-      found.push({ agent, placement, task, anywhere, ownFault })
+      const areOthersNormal = isNormalPace(otherJobsOn(agent, task, all))
+      const isStepFaulty = areOthersNormal && isBadAmongNormalRuns(task, agent, all)
+      const mayRestartInPlace = areOthersNormal || ms > RESTART_IN_PLACE_AFTER_MS
+      found.push({ agent, placement, task, mayRestartInPlace, isStepFaulty })
       noteBad(task.step, agent)
     }
     return found
@@ -232,16 +233,16 @@
     )
     const stepsOf = (runs: BadRun[]): Step[] => runs.map(({ task }) => task.step)
     const newlyStalled = stalled.filter(
-      ({ placement, ownFault }) => !ownFault && !accusers.has(placement),
+      ({ placement, isStepFaulty }) => !isStepFaulty && !countedStalls.has(placement),
     )
-    for (const { placement } of newlyStalled) accusers.add(placement)
+    for (const { placement } of newlyStalled) countedStalls.add(placement)
     if (newlyStalled.length > 0)
       suspicion.exclude(agent, 'tasks stand still', stepsOf(newlyStalled))
-    else if (slow.length >= SUSPECT_SLOW)
+    else if (slow.length >= MIN_SLOW_RUNS)
       suspicion.exclude(agent, 'tasks are slow', stepsOf(slow))
     if (suspicion.standingOf(agent) !== 'suspect') return stalled
     const movable = slow.filter(
-      ({ task, verdict }) => movesOf(task) < MAX_SLOW_MOVES[verdict],
+      ({ task, cause }) => movesOf(task) < MAX_SLOW_MOVES[cause],
     )
     return [...stalled, ...movable]
   }
@@ -249,7 +250,7 @@
   return {
     noteDone(agent, task) {
       const { step } = task
-      if (!isJudged(step) || !runTimes.knows(step)) return false
+      if (!hasMeasurableSpeed(step) || !runTimes.knows(step)) return false
       const at = monotonicMs()
       const pace = runTimes.meanOf(step) / Math.max(1, at - task.startedAt)
       const { startedAt } = task
@@ -263,7 +264,7 @@
         answering.flatMap((agent) => [...pacesOn(agent), ...recentlyDone(agent)]),
       )
       const found = answering.flatMap((agent) => sweepOne(agent, all))
-      suspicion.pardon((step) => longSteps.has(step))
+      suspicion.retractEvidence((step) => longRunningSteps.has(step))
       return found
     },
     noteMoved: ({ task }) => void moves.set(task, movesOf(task) + 1),
@@ -272,7 +273,8 @@
 }
 
 /** Whether a run of the step can be judged by how far it gets: it ends by itself, alone. */
-const isJudged = ({ spec }: Step): boolean => !spec.lasting && !spec.gang && !spec.fills
+const hasMeasurableSpeed = ({ spec }: Step): boolean =>
+  !spec.lasting && !spec.gang && !spec.fills
 
 function groupPaces(paces: Pace[]): Paces {
   const byAgent = new Map<TargetAgent, Pace[]>()
--- a/src/scheduler/demand.ts
+++ b/src/scheduler/demand.ts
@@ -15,10 +15,10 @@
  * Growth of the need since the last report that is told at once, as a share of it: about
  * one VM of the seven that a small service has. Saves up to 0.15 s, the usual pause.
  */
-const TELL_GROWTH = 0.15
+const IMMEDIATE_REPORT_GROWTH = 0.15
 
 /** Room that an owner which is behind asks for, as a multiple of what its tasks use. */
-const BEHIND_GROWTH = 1.5
+const BEHIND_HEADROOM = 1.5
 
 /** The jobs without an outcome. */
 type OpenJobs = JobBook['open']
@@ -41,7 +41,7 @@
 }
 
 /** What tasks ask for, in thousandths of a core; the backlog is that times ms. */
-interface Amounts {
+interface Demand {
   lasting: number
   running: number
   backlog: number
@@ -52,9 +52,9 @@
  * scarcer of the two says how many targets are needed: the dominant resource of A. Ghodsi et al.,
  * "Dominant resource fairness", NSDI 2011.
  */
-interface Sums {
-  cpu: Amounts
-  memory: Amounts
+interface DemandTotals {
+  cpu: Demand
+  memory: Demand
   /** Steps that need a target for themselves, as they will probably crash it. */
   isolated: number
 }
@@ -103,12 +103,12 @@
 
   /** Room by the scarcer resource, given the room for the amounts of one. */
   const roomFor = (
-    { cpu, memory, isolated }: Sums,
-    amountOf: (amounts: Amounts) => number,
+    { cpu, memory, isolated }: DemandTotals,
+    amountOf: (amounts: Demand) => number,
   ): number => Math.max(amountOf(cpu), amountOf(memory)) + isolated * targetRoom.cpu
 
   /** Room for all that is asked for, and for the work that is expected. */
-  const total = (sums: Sums, expected: number): number =>
+  const requiredRoom = (sums: DemandTotals, expected: number): number =>
     roomFor(
       sums,
       ({ lasting, running, backlog }) =>
@@ -119,8 +119,8 @@
    * What an owner that is behind can use: more room than its starts fill would stay empty, and be
    * missed elsewhere.
    */
-  const orderable = (sums: Sums): number =>
-    roomFor(sums, ({ lasting, running }) => lasting + running * BEHIND_GROWTH)
+  const usableRoom = (sums: DemandTotals): number =>
+    roomFor(sums, ({ lasting, running }) => lasting + running * BEHIND_HEADROOM)
 
   function expectedCpu(now: number): number {
     let expected = 0
@@ -129,7 +129,7 @@
   }
 
   /** Adds what the tasks of a job ask for now: those of steps that may run and are not done. */
-  function addJob(sum: Sums, job: Job): void {
+  function addJob(sum: DemandTotals, job: Job): void {
     for (const { steps } of job.occurrences) {
       for (const step of steps) {
         if (step.unblocked && !isStepDone(step)) addStep(sum, step, runTimes, targetRoom)
@@ -138,28 +138,28 @@
   }
 
   /** Thousandths of a core that the tasks need, now and soon. */
-  function needed(open: OpenJobs, now: number): Need {
-    const all = createSums()
-    const timely = createSums()
+  function computeNeed(open: OpenJobs, now: number): Need {
+    const all = createTotals()
+    const timely = createTotals()
     for (const job of open) {
       addJob(all, job)
       if (isTimely(job, now)) addJob(timely, job)
     }
     timely.isolated = 0
     const expected = expectedCpu(now)
-    const limit = isBehind() ? orderable(all) : Infinity
+    const limit = isBehind() ? usableRoom(all) : Infinity
     return {
-      cpu: Math.min(limit, total(all, expected)),
-      timelyCpu: Math.min(limit, total(timely, expected)),
+      cpu: Math.min(limit, requiredRoom(all, expected)),
+      timelyCpu: Math.min(limit, requiredRoom(timely, expected)),
     }
   }
 
   /** The same without the question what can be in time, which costs most of it. */
   function neededCpu(open: OpenJobs, now: number): number {
-    const all = createSums()
+    const all = createTotals()
     for (const job of open) addJob(all, job)
-    const limit = isBehind() ? orderable(all) : Infinity
-    return Math.min(limit, total(all, expectedCpu(now)))
+    const limit = isBehind() ? usableRoom(all) : Infinity
+    return Math.min(limit, requiredRoom(all, expectedCpu(now)))
   }
 
   const meter: DemandMeter = {
@@ -179,7 +179,8 @@
         meter.arrived(job, now - ageMs)
       }
     },
-    hasGrown: (open, now) => neededCpu(open, now) > reportedCpu * (1 + TELL_GROWTH),
+    hasGrown: (open, now) =>
+      neededCpu(open, now) > reportedCpu * (1 + IMMEDIATE_REPORT_GROWTH),
     report(service, term, open, agents, now) {
       let minTargets = 0
       for (const job of open) {
@@ -188,7 +189,7 @@
         }
       }
       targetRoom = meanRoomOf(agents)
-      const { cpu, timelyCpu } = needed(open, now)
+      const { cpu, timelyCpu } = computeNeed(open, now)
       reportedCpu = cpu
       sequence++
       return {
@@ -208,11 +209,11 @@
   return meter
 }
 
-const createAmounts = (): Amounts => ({ lasting: 0, running: 0, backlog: 0 })
+const createDemand = (): Demand => ({ lasting: 0, running: 0, backlog: 0 })
 
-const createSums = (): Sums => ({
-  cpu: createAmounts(),
-  memory: createAmounts(),
+const createTotals = (): DemandTotals => ({
+  cpu: createDemand(),
+  memory: createDemand(),
   isolated: 0,
 })
 
@@ -234,7 +235,7 @@
 }
 
 function addStep(
-  sum: Sums,
+  sum: DemandTotals,
   step: Step,
   runTimes: RunTimes,
   targetRoom: TargetRoom,
--- a/src/scheduler/evacuation.ts
+++ b/src/scheduler/evacuation.ts
@@ -13,7 +13,7 @@
  * Time for which a task must have been at work again before the next one of its step is
  * stopped, in ms: reports lag by a long poll.
  */
-const SETTLED_MS = 1200
+const MIN_RUNNING_MS = 1200
 
 export interface EvacuationInput {
   agent: TargetAgent
@@ -30,8 +30,8 @@
     const { task } = placement
     if (!task || placement.state !== 'running') continue
     const { lasting, checkpoints } = task.step.spec
-    const stops = lasting ? mayMove(task, agent, agents) : hurry && checkpoints
-    if (!stops) continue
+    const shouldStop = lasting ? canMove(task, agent, agents) : hurry && checkpoints
+    if (!shouldStop) continue
     if (lasting) log.event('lastingMoved', { task: task.name, target: agent.target.id })
     agent.stop(task.name)
   }
@@ -63,10 +63,10 @@
 }
 
 /** Whether a lasting task has somewhere to go, and its step can spare it meanwhile. */
-function mayMove(task: Task, agent: TargetAgent, agents: TargetAgent[]): boolean {
+function canMove(task: Task, agent: TargetAgent, agents: TargetAgent[]): boolean {
   if (!agents.some((other) => other !== agent && canTake(other, task.step))) return false
   // What is left on a leaving target dies with it, so nothing is gained by waiting.
-  return agent.target.draining || canSpare(task, agents)
+  return agent.target.draining || canInterrupt(task, agents)
 }
 
 /** Whether a target has room for one more task of the step. */
@@ -78,11 +78,13 @@
 }
 
 /** Whether one more task of the step may be away through our doing. */
-function canSpare(task: Task, agents: TargetAgent[]): boolean {
+function canInterrupt(task: Task, agents: TargetAgent[]): boolean {
   const { step } = task
   const allowed = step.spec.mayMiss ?? step.tasks.length
   const placements = placementsOf(step, agents)
-  const away = step.tasks.filter((each) => each !== task && !isAtWork(each, placements))
+  const away = step.tasks.filter(
+    (each) => each !== task && !isRunningSteadily(each, placements),
+  )
   return away.length < allowed
 }
 
@@ -97,8 +99,8 @@
   return found
 }
 
-function isAtWork(task: Task, placements: Map<string, Placement>): boolean {
+function isRunningSteadily(task: Task, placements: Map<string, Placement>): boolean {
   const placement = placements.get(task.name)
   if (!placement || placement.state !== 'running' || placement.percent < 100) return false
-  return monotonicMs() - task.startedAt > SETTLED_MS
+  return monotonicMs() - task.startedAt > MIN_RUNNING_MS
 }
--- a/src/scheduler/isolation.ts
+++ b/src/scheduler/isolation.ts
@@ -43,7 +43,7 @@
   /** Whether isolation of the target or of the step keeps the step from the target. */
   forbids(agent: TargetAgent, step: Step): boolean
   /** Records a start planned in this round. */
-  planned(agent: TargetAgent, step: Step): void
+  recordPlanned(agent: TargetAgent, step: Step): void
 }
 
 /** Creates the isolation of one owner. */
@@ -103,7 +103,7 @@
       const risk = riskOf(step)
       return counts[risk] >= maxIsolated(agent, risk)
     },
-    planned(agent, step) {
+    recordPlanned(agent, step) {
       plannedAgents.add(agent)
       if (step.crashSuspects.size === 0 || isolated.has(agent)) return
       isolated.add(agent)
--- a/src/scheduler/moveBadRuns.ts
+++ b/src/scheduler/moveBadRuns.ts
@@ -2,7 +2,7 @@
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import type { Health } from './health.js'
-import { createRoomElsewhere } from './planner.js'
+import { createRelocationRoom } from './planner.js'
 import type { Starter } from './starter.js'
 import type { TargetAgent } from './types.js'
 
@@ -23,11 +23,11 @@
   const bad = health.sweep(agents)
   if (bad.length === 0) return
   const sound = agents.filter((agent) => health.standingOf(agent) === 'sound')
-  const room = createRoomElsewhere(sound, starter.policyNow(agents))
+  const room = createRelocationRoom(sound, starter.policyNow(agents))
   for (const run of bad) {
-    const { agent, placement, task, anywhere } = run
+    const { agent, placement, task, mayRestartInPlace } = run
     if (placement.state !== 'running') continue
-    if (!room.claim(task.step, agent) && !anywhere) continue
+    if (!room.reserve(task.step, agent) && !mayRestartInPlace) continue
     log.event('runMoved', {
       task: placement.name,
       target: agent.target.id,
--- a/src/scheduler/paced.ts
+++ b/src/scheduler/paced.ts
@@ -6,18 +6,18 @@
  * since the last one, and once for all requests until then.
  */
 export function createPaced(call: () => void, gapMs: number): () => void {
-  let asked = false
+  let isScheduled = false
   let calledAt = -Infinity
 
   const callOnce = (): void => {
-    asked = false
+    isScheduled = false
     calledAt = monotonicMs()
     call()
   }
 
   return () => {
-    if (asked) return
-    asked = true
+    if (isScheduled) return
+    isScheduled = true
     if (monotonicMs() - calledAt >= gapMs) setImmediate(callOnce)
     else setTimeout(callOnce, gapMs)
   }
--- a/src/scheduler/placementRules.ts
+++ b/src/scheduler/placementRules.ts
@@ -55,13 +55,13 @@
 }
 
 /** Whether the step is kept from the target by this rule. */
-type Rule = (view: PlacementView, step: Step, policy: PlacementPolicy) => boolean
+type ForbidsStep = (view: PlacementView, step: Step, policy: PlacementPolicy) => boolean
 
 const exceeds = (need: Resources, room: Resources): boolean =>
   need.cpu > room.cpu || need.memMb > room.memMb || need.gpu > room.gpu
 
 /** The rules by name, in the order in which they are asked: what is cheap comes first. */
-const RULES: Record<StepHold, Rule> = {
+const RULES: Record<StepHold, ForbidsStep> = {
   size: ({ agent }, step) => exceeds(needOf(step), agent.room.capacity),
   room: ({ free }, step) => exceeds(needOf(step), free),
   // A gang comes whole: its members wait for one another in any case.
@@ -75,7 +75,7 @@
   suspect: ({ agent }, step, policy) => policy.isSuspect(agent, step),
   ticket: ({ agent }, step, policy) => policy.lacksTicket(agent, step),
 }
-const ORDER = Object.entries(RULES) as [StepHold, Rule][]
+const ORDER = Object.entries(RULES) as [StepHold, ForbidsStep][]
 
 /** The first rule that keeps the step from a target that takes orders. */
 export function stepHoldOf(
--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -47,71 +47,76 @@
 }
 
 /** Room that planned starts of this round take, on top of what the agents count. */
-interface Draft extends PlacementView {
+interface Candidate extends PlacementView {
   /** Tasks of a step that this round has planned there. */
-  planned: Map<Step, number>
-  serving: number
+  plannedCounts: Map<Step, number>
+  lastingCount: number
 }
 
-function countServing(agent: TargetAgent): number {
+function countLasting(agent: TargetAgent): number {
   let count = 0
   for (const { task } of agent.placements.values()) if (task?.step.spec.lasting) count++
   return count
 }
 
-function createDraft(agent: TargetAgent): Draft {
+function createCandidate(agent: TargetAgent): Candidate {
   const planned = new Map<Step, number>()
   return {
     agent,
     free: { ...agent.room.free },
     startsLeft: agent.startsLeft(),
-    planned,
+    plannedCounts: planned,
     countOf: (step) => agent.room.countOf(step) + (planned.get(step) ?? 0),
-    serving: countServing(agent),
+    lastingCount: countLasting(agent),
   }
 }
 
 /** A draft to try a gang on: what is planned there leaves the first one as it is. */
-function copyDraft(draft: Draft): Draft {
-  const copy = createDraft(draft.agent)
-  Object.assign(copy.free, draft.free)
-  copy.startsLeft = draft.startsLeft
-  for (const [step, count] of draft.planned) copy.planned.set(step, count)
-  copy.serving = draft.serving
+function copyCandidate(candidate: Candidate): Candidate {
+  const copy = createCandidate(candidate.agent)
+  Object.assign(copy.free, candidate.free)
+  copy.startsLeft = candidate.startsLeft
+  for (const [step, count] of candidate.plannedCounts) copy.plannedCounts.set(step, count)
+  copy.lastingCount = candidate.lastingCount
   return copy
 }
 
-function take(draft: Draft, step: Step): void {
+function reserve(candidate: Candidate, step: Step): void {
   const need = needOf(step)
-  draft.free.cpu -= need.cpu
-  draft.free.memMb -= need.memMb
-  draft.free.gpu -= need.gpu
-  draft.startsLeft--
-  draft.planned.set(step, (draft.planned.get(step) ?? 0) + 1)
-  if (step.spec.lasting) draft.serving++
+  candidate.free.cpu -= need.cpu
+  candidate.free.memMb -= need.memMb
+  candidate.free.gpu -= need.gpu
+  candidate.startsLeft--
+  candidate.plannedCounts.set(step, (candidate.plannedCounts.get(step) ?? 0) + 1)
+  if (step.spec.lasting) candidate.lastingCount++
 }
 
 /** More than any other difference between targets. */
-const PENALTY_COST = 1e12
+const PENALTY_WEIGHT = 1e12
 
 /** Smaller is better: near the data, crash suspects apart, lasting tasks spread, others packed. */
-function costOf(draft: Draft, step: Step): number {
+function costOf(candidate: Candidate, step: Step): number {
   const { dataRack, lasting } = step.spec
-  const far = dataRack !== '' && rackOf(draft.agent) !== dataRack ? 1e9 : 0
-  if (step.crashSuspects.size > 0) return far + draft.agent.placements.size
-  if (lasting) return far + draft.serving * 1e6 - draft.free.cpu
-  return far + draft.free.cpu
+  const distanceCost = dataRack !== '' && rackOf(candidate.agent) !== dataRack ? 1e9 : 0
+  if (step.crashSuspects.size > 0) return distanceCost + candidate.agent.placements.size
+  if (lasting) return distanceCost + candidate.lastingCount * 1e6 - candidate.free.cpu
+  return distanceCost + candidate.free.cpu
 }
 
-function choose(drafts: Draft[], task: Task, input: PlanInput): Draft | undefined {
+function choose(
+  candidates: Candidate[],
+  task: Task,
+  input: PlanInput,
+): Candidate | undefined {
   const { step } = task
-  let best: Draft | undefined
+  let best: Candidate | undefined
   let bestCost = Infinity
-  for (const draft of drafts) {
-    if (stepHoldOf(draft, step, input.policy) !== undefined) continue
-    const cost = costOf(draft, step) + input.penaltyOf(draft.agent, task) * PENALTY_COST
+  for (const candidate of candidates) {
+    if (stepHoldOf(candidate, step, input.policy) !== undefined) continue
+    const cost =
+      costOf(candidate, step) + input.penaltyOf(candidate.agent, task) * PENALTY_WEIGHT
     if (cost < bestCost) {
-      best = draft
+      best = candidate
       bestCost = cost
     }
   }
@@ -119,19 +124,19 @@
 }
 
 /** Needs for which no target had room in this round, by what else the steps ask for. */
-type Failed = Map<string, Resources[]>
+type FailedNeeds = Map<string, Resources[]>
 
 /**
  * What decides, beside its needs, where a step may run; undefined where that is for the step
  * alone to say.
  */
-function kindOf(step: Step, input: PlanInput): string | undefined {
+function constraintKeyOf(step: Step, input: PlanInput): string | undefined {
   const { label, lasting, maxPerTarget } = step.spec
   if (maxPerTarget > 0 || input.isSpecial(step)) return undefined
   return `${lasting} ${label} ${input.mayTry(step)}`
 }
 
-const needsAsMuch = (need: Resources, other: Resources): boolean =>
+const needsAtLeast = (need: Resources, other: Resources): boolean =>
   need.cpu >= other.cpu && need.memMb >= other.memMb && need.gpu >= other.gpu
 
 /**
@@ -140,46 +145,46 @@
  * eight tasks for 400 nearly full targets took 3.8 ms with a look at each, 1.6 ms without;
  * of 300 jobs for 100 targets 1.7 and 1.2 ms (means of 40 plans).
  */
-function chooseOnce(
-  drafts: Draft[],
+function chooseUnlessKnownFull(
+  candidates: Candidate[],
   task: Task,
   input: PlanInput,
-  failed: Failed,
-): Draft | undefined {
+  failed: FailedNeeds,
+): Candidate | undefined {
   const { step } = task
-  const kind = kindOf(step, input)
+  const constraintKey = constraintKeyOf(step, input)
   const need = needOf(step)
-  const known = kind === undefined ? undefined : failed.get(kind)
-  if (known?.some((other) => needsAsMuch(need, other))) return undefined
-  const draft = choose(drafts, task, input)
-  if (draft || kind === undefined) return draft
+  const known = constraintKey === undefined ? undefined : failed.get(constraintKey)
+  if (known?.some((other) => needsAtLeast(need, other))) return undefined
+  const candidate = choose(candidates, task, input)
+  if (candidate || constraintKey === undefined) return candidate
   if (known) known.push(need)
-  else failed.set(kind, [need])
+  else failed.set(constraintKey, [need])
   return undefined
 }
 
 /** A gang starts whole or not at all; in one rack where it asks for that. */
-function planGang(drafts: Draft[], step: Step, input: PlanInput): PlannedStart[] {
+function planGang(candidates: Candidate[], step: Step, input: PlanInput): PlannedStart[] {
   const members = step.tasks.filter(({ phase }) => phase === 'ready')
   if (members.length < step.tasks.length) return []
-  const racks = new Set(drafts.map(({ agent }) => rackOf(agent)))
+  const racks = new Set(candidates.map(({ agent }) => rackOf(agent)))
   const groups = step.spec.sameRack
-    ? [...racks].map((rack) => drafts.filter(({ agent }) => rackOf(agent) === rack))
+    ? [...racks].map((rack) => candidates.filter(({ agent }) => rackOf(agent) === rack))
     : []
-  for (const group of [...groups, drafts]) {
-    const copies = group.map(copyDraft)
+  for (const group of [...groups, candidates]) {
+    const copies = group.map(copyCandidate)
     const starts: PlannedStart[] = []
     for (const task of members) {
-      const draft = choose(copies, task, input)
-      if (!draft) break
-      take(draft, step)
-      starts.push({ task, agent: draft.agent })
+      const candidate = choose(copies, task, input)
+      if (!candidate) break
+      reserve(candidate, step)
+      starts.push({ task, agent: candidate.agent })
     }
     if (starts.length < members.length) continue
     for (const { agent } of starts) {
-      const draft = drafts.find((each) => each.agent === agent)
-      if (!draft) continue
-      take(draft, step)
+      const candidate = candidates.find((each) => each.agent === agent)
+      if (!candidate) continue
+      reserve(candidate, step)
       input.planned(agent, step)
     }
     return starts
@@ -194,7 +199,7 @@
 
 /** Plans starts in the order of urgency, those of sole crash suspects last. */
 export function planStarts(input: PlanInput): Plan {
-  const drafts = input.agents.filter((agent) => agent.isUsable()).map(createDraft)
+  const candidates = input.agents.filter((agent) => agent.isUsable()).map(createCandidate)
   const steps = new Map<Step, Task[]>()
   for (const task of input.ready) {
     const group = steps.get(task.step)
@@ -218,53 +223,53 @@
     .map(({ step }) => step)
   const plan: Plan = { starts: [], waiting: new Set() }
   const { startsLeft = Infinity } = input
-  const failed: Failed = new Map()
+  const failed: FailedNeeds = new Map()
   for (const step of ordered) {
     if (plan.starts.length >= startsLeft) {
       plan.waiting.add(step)
       continue
     }
     if (step.spec.gang) {
-      const starts = planGang(drafts, step, input)
+      const starts = planGang(candidates, step, input)
       plan.starts.push(...starts)
       if (starts.length === 0) plan.waiting.add(step)
       continue
     }
     const tasks = startableTasks(step, steps.get(step) ?? [])
-    const { mostStarts } = urgencies.get(step.job) ?? {}
-    for (const task of mostStarts === undefined ? tasks : tasks.slice(0, mostStarts)) {
-      const draft = chooseOnce(drafts, task, input, failed)
-      if (!draft || plan.starts.length >= startsLeft) {
+    const { maxStarts } = urgencies.get(step.job) ?? {}
+    for (const task of maxStarts === undefined ? tasks : tasks.slice(0, maxStarts)) {
+      const candidate = chooseUnlessKnownFull(candidates, task, input, failed)
+      if (!candidate || plan.starts.length >= startsLeft) {
         plan.waiting.add(step)
         break
       }
-      take(draft, step)
-      input.planned(draft.agent, step)
-      plan.starts.push({ task, agent: draft.agent })
+      reserve(candidate, step)
+      input.planned(candidate.agent, step)
+      plan.starts.push({ task, agent: candidate.agent })
     }
   }
   return plan
 }
 
 /** Room on targets that are left, as runs are taken off others for them. */
-export interface RoomElsewhere {
+export interface RelocationRoom {
   /** Takes room for one more task of the step on another target; false where there is none. */
-  claim(step: Step, from: TargetAgent): boolean
+  reserve(step: Step, from: TargetAgent): boolean
 }
 
 /** Counts the room on the targets given, for runs that come from any target. */
-export function createRoomElsewhere(
+export function createRelocationRoom(
   agents: readonly TargetAgent[],
   policy: PlacementPolicy,
-): RoomElsewhere {
-  const drafts = agents.filter((agent) => agent.isUsable()).map(createDraft)
+): RelocationRoom {
+  const candidates = agents.filter((agent) => agent.isUsable()).map(createCandidate)
   return {
-    claim(step, from) {
-      const draft = drafts.find(
+    reserve(step, from) {
+      const candidate = candidates.find(
         (each) => each.agent !== from && stepHoldOf(each, step, policy) === undefined,
       )
-      if (draft) take(draft, step)
-      return draft !== undefined
+      if (candidate) reserve(candidate, step)
+      return candidate !== undefined
     },
   }
 }
--- a/src/scheduler/startWindow.ts
+++ b/src/scheduler/startWindow.ts
@@ -17,22 +17,22 @@
  * Time within which most calls should be answered, in ms. Targets answer within a few ms, so that
  * the rest is the owner's own delay, or that of its link.
  */
-const GOAL_MS = 250
+const LATE_AFTER_MS = 250
 /** Time between two changes of the size, in ms. */
-const PERIOD_MS = 250
+const UPDATE_PERIOD_MS = 250
 /** Answers that a change rests on at least. */
 const MIN_ANSWERS = 4
 /** Factor by which the window shrinks when most starts were answered late. */
-const DECREASE = 0.75
+const DECREASE_FACTOR = 0.75
 /** Growth while the owner is behind, in starts, and as a factor while it is not. */
-const INCREASE = 1
-const GROWTH = 1.5
+const BEHIND_INCREASE = 1
+const INCREASE_FACTOR = 1.5
 /** Share of the answers that must be late: a slow target or two say nothing of the owner. */
-const LATE_SHARE = 0.75
+const MIN_LATE_SHARE = 0.75
 /** Time for which the owner counts as behind after most starts were answered late, in ms. */
 const BEHIND_MS = 2000
 /** Time for which a pace that was reached once counts, in ms: it falls where there is no room. */
-const PACE_MS = 3000
+const RATE_WINDOW_MS = 3000
 
 /** Starts in flight of one owner. */
 export interface StartWindow {
@@ -69,24 +69,24 @@
   let size = INITIAL_SIZE
   let inFlight = 0
   let wasFull = false
-  let times: number[] = []
+  let answerTimes: number[] = []
   let periodStart = now()
   /** Paces of the last periods, in starts a second, with their steady times in ms. */
-  let paces: { at: number; perSecond: number }[] = []
+  let rates: { at: number; perSecond: number }[] = []
   let behindUntil = -Infinity
 
-  const perSecond = (): number => Math.max(0, ...paces.map((each) => each.perSecond))
+  const perSecond = (): number => Math.max(0, ...rates.map((each) => each.perSecond))
 
   /** Whether nearly all starts of the period were answered late. */
   function isLate(): boolean {
-    const sorted = [...times].sort((a, b) => a - b)
-    return (sorted[Math.floor(sorted.length * (1 - LATE_SHARE))] ?? 0) > GOAL_MS
+    const sorted = [...answerTimes].sort((a, b) => a - b)
+    return (sorted[Math.floor(sorted.length * (1 - MIN_LATE_SHARE))] ?? 0) > LATE_AFTER_MS
   }
 
   function noteBehind(at: number): void {
     if (at >= behindUntil) {
-      const pace = Math.round(perSecond())
-      log.event('ownerBehind', { inFlight, size, perSecond: pace })
+      const roundedRate = Math.round(perSecond())
+      log.event('ownerBehind', { inFlight, size, perSecond: roundedRate })
     }
     behindUntil = at + BEHIND_MS
   }
@@ -94,17 +94,18 @@
   function endPeriod(): void {
     const at = now()
     const ms = at - periodStart
-    if (ms < PERIOD_MS || times.length < MIN_ANSWERS) return
-    paces = paces.filter((each) => at - each.at < PACE_MS)
-    paces.push({ at, perSecond: (times.length * 1000) / ms })
+    if (ms < UPDATE_PERIOD_MS || answerTimes.length < MIN_ANSWERS) return
+    rates = rates.filter((each) => at - each.at < RATE_WINDOW_MS)
+    rates.push({ at, perSecond: (answerTimes.length * 1000) / ms })
     if (isLate()) {
-      size = Math.max(MIN_SIZE, Math.floor(size * DECREASE))
+      size = Math.max(MIN_SIZE, Math.floor(size * DECREASE_FACTOR))
       noteBehind(at)
     } else if (wasFull) {
-      const grown = at < behindUntil ? size + INCREASE : Math.ceil(size * GROWTH)
+      const grown =
+        at < behindUntil ? size + BEHIND_INCREASE : Math.ceil(size * INCREASE_FACTOR)
       size = Math.min(MAX_SIZE, grown)
     }
-    times = []
+    answerTimes = []
     periodStart = at
     wasFull = inFlight >= size
   }
@@ -118,7 +119,7 @@
     closed(tookMs) {
       const isFull = inFlight >= size
       inFlight--
-      if (tookMs !== undefined) times.push(tookMs)
+      if (tookMs !== undefined) answerTimes.push(tookMs)
       endPeriod()
       if (isFull && inFlight < size) freed()
     },
--- a/src/scheduler/starter.ts
+++ b/src/scheduler/starter.ts
@@ -47,7 +47,7 @@
   const { isolation, startWindow, log } = opts
   const firstRun = (authority.term - 1) * RUNS_PER_TERM + 1
 
-  const hasPolicy = (step: Step): boolean =>
+  const needsTicket = (step: Step): boolean =>
     configuration.queue(step.job.spec.queue)?.advice !== undefined
 
   const tries = new WeakMap<Job, number>()
@@ -69,20 +69,25 @@
     isIsolated: forbids,
     isSuspect,
     lacksTicket: (agent, step) =>
-      hasPolicy(step) && tickets.find(step, agent) === undefined,
+      needsTicket(step) && tickets.find(step, agent) === undefined,
   })
 
   const ticketFor = (step: Step, agent: TargetAgent): string =>
-    hasPolicy(step) ? (tickets.find(step, agent) ?? '') : ''
+    needsTicket(step) ? (tickets.find(step, agent) ?? '') : ''
 
   /** Places of the jobs with tasks that may start now. */
-  function placeJobs(now: number): (job: Job) => Urgency {
-    const placeOf = (job: Job, delayMs: number): Urgency =>
+  function createUrgencyLookup(now: number): (job: Job) => Urgency {
+    const delayedUrgencyOf = (job: Job, delayMs: number): Urgency =>
       urgencyOf(job, configuration.queue(job.spec.queue), runTimes, now, delayMs)
     const perSecond = startWindow.perSecond()
-    if (!startWindow.isBehind() || perSecond === 0) return (job) => placeOf(job, 0)
-    const paced = pacedUrgencies({ ready: book.ready, perSecond, urgencyOf: placeOf })
-    return (job) => paced.get(job) ?? placeOf(job, 0)
+    if (!startWindow.isBehind() || perSecond === 0)
+      return (job) => delayedUrgencyOf(job, 0)
+    const paced = pacedUrgencies({
+      ready: book.ready,
+      perSecond,
+      urgencyOf: delayedUrgencyOf,
+    })
+    return (job) => paced.get(job) ?? delayedUrgencyOf(job, 0)
   }
 
   function start(agents: TargetAgent[]): void {
@@ -94,18 +99,18 @@
     const { starts, waiting } = planStarts({
       ready: book.ready,
       agents,
-      urgencyOf: placeJobs(now),
+      urgencyOf: createUrgencyLookup(now),
       policy: policyOf(round, isolationRound),
       penaltyOf: health.penaltyOf,
-      isSpecial: (step) => hasPolicy(step) || step.crashSuspects.size > 0,
-      mayTry: round.mayTry,
+      isSpecial: (step) => needsTicket(step) || step.crashSuspects.size > 0,
+      mayTry: round.mayUseSuspects,
       startsLeft,
       planned(agent, step) {
-        round.planned(agent, step)
-        isolationRound.planned(agent, step)
+        round.recordPlanned(agent, step)
+        isolationRound.recordPlanned(agent, step)
       },
     })
-    for (const step of waiting) if (hasPolicy(step)) tickets.want(step, agents)
+    for (const step of waiting) if (needsTicket(step)) tickets.want(step, agents)
     for (const { task, agent } of starts) {
       const run = Math.max(task.run + 1, firstRun)
       agent.start(task, run, ticketFor(task.step, agent))
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -31,9 +31,9 @@
   /** Whether evidence keeps the step from the target. */
   isSuspect(agent: TargetAgent, step: Step): boolean
   /** Whether the step may go where others may not. */
-  mayTry(step: Step): boolean
+  mayUseSuspects(step: Step): boolean
   /** Notes what the round has planned. */
-  planned(agent: TargetAgent, step: Step): void
+  recordPlanned(agent: TargetAgent, step: Step): void
 }
 
 /** What a round is decided by. */
@@ -48,14 +48,14 @@
 }
 
 /** Whether a task that ends by itself is on the target. */
-const hasPassing = (agent: TargetAgent): boolean =>
+const hasFiniteTask = (agent: TargetAgent): boolean =>
   [...agent.placements.values()].some(({ task }) => !task?.step.spec.lasting)
 
 /** Begins a round. */
 export function createSuspectRound(input: SuspectRoundInput): SuspectRound {
   const { health, agents, now } = input
   const anySuspect = agents.some((agent) => health.standingOf(agent) !== 'sound')
-  const soundFor = new Map<Step, boolean>()
+  const soundTargetExists = new Map<Step, boolean>()
   /** Tasks that the round may still try of the jobs of which it has tried some. */
   const triesLeft = new Map<Job, number>()
   const onTrial = new Set<TargetAgent>()
@@ -66,7 +66,7 @@
 
   /** Whether a sound target could take the step once it is empty. */
   function hasSoundTarget(step: Step): boolean {
-    const known = soundFor.get(step)
+    const known = soundTargetExists.get(step)
     if (known !== undefined) return known
     const found = agents.some(
       (agent) =>
@@ -74,14 +74,14 @@
         health.standingOf(agent) === 'sound' &&
         stepHoldOf(emptyViewOf(agent), step, OPEN_POLICY) === undefined,
     )
-    soundFor.set(step, found)
+    soundTargetExists.set(step, found)
     return found
   }
 
-  function mayTry(step: Step): boolean {
+  function mayUseSuspects(step: Step): boolean {
     const { job } = step
     // Where no target is to blame, waiting only puts off what its caller is to be told.
-    if (anySuspect && health.failsByItself(step)) return true
+    if (anySuspect && health.isFaulty(step)) return true
     if (!anySuspect || job.placed > 0 || triesLeft.get(job) === 0) return false
     const idleMs = now - idleSinceOf(step)
     if (idleMs < TRY_AFTER_MS) return false
@@ -96,15 +96,15 @@
   }
 
   return {
-    mayTry,
+    mayUseSuspects,
     isSuspect(agent, step) {
       // A lasting task may find no other target; a suspect one is better than none.
       if (step.spec.lasting) return false
       const standing = health.standingOf(agent)
-      if (standing === 'sound' || mayTry(step)) return false
-      return standing === 'suspect' || onTrial.has(agent) || hasPassing(agent)
+      if (standing === 'sound' || mayUseSuspects(step)) return false
+      return standing === 'suspect' || onTrial.has(agent) || hasFiniteTask(agent)
     },
-    planned(agent, step) {
+    recordPlanned(agent, step) {
       if (step.spec.lasting || health.standingOf(agent) === 'sound') return
       onTrial.add(agent)
       if (!step.spec.gang) noteTry(step.job)
--- a/src/scheduler/suspicion.ts
+++ b/src/scheduler/suspicion.ts
@@ -9,7 +9,7 @@
 import type { TargetAgent } from './types.js'
 
 /** Ends of a target that are looked at, and how long they count, in ms. */
-const RECENT_ENDS = 10
+const MAX_RECENT_ENDS = 10
 const RECENT_MS = 8000
 /** Failed runs, of so many jobs, that bring a target under suspicion. */
 const SUSPECT_FAILURES = 2
@@ -20,19 +20,19 @@
  * Failures of a step, none of its runs done, that speak for the job even where it has been
  * tried on one target alone: a pool may have no other.
  */
-const OWN_FAULT_FAILURES = 3
+const FAULTY_STEP_FAILURES = 3
 /** Time without new tasks, in ms; doubled each time the trial fails. */
-const EXCLUDE_MS = 5000
-const MAX_EXCLUDE_MS = 20_000
+const INITIAL_EXCLUSION_MS = 5000
+const MAX_EXCLUSION_MS = 20_000
 
 /**
  * `sound`: nothing speaks against it. `trial`: it gets one task at a time. `suspect`: it gets
  * nothing but a task of a job that has nowhere else to go.
  */
-export type Standing = 'sound' | 'trial' | 'suspect'
+export type TargetStanding = 'sound' | 'trial' | 'suspect'
 
 /** What a target did to come under suspicion. */
-export type Offence =
+export type SuspicionReason =
   'tasks of several jobs fail' | 'trial failed' | 'tasks stand still' | 'tasks are slow'
 
 /** The evidence against the targets of one service. */
@@ -43,14 +43,14 @@
    */
   noteEnd(agent: TargetAgent, task: Task, failed: boolean, wasSlow: boolean): void
   /** Keeps tasks off the target; `steps` are those that speak against it. */
-  exclude(agent: TargetAgent, offence: Offence, steps: Step[]): void
+  exclude(agent: TargetAgent, reason: SuspicionReason, steps: Step[]): void
   /** The step is the cause itself: what rests on it alone is taken back. */
-  pardon(isCause: (step: Step) => boolean): void
-  standingOf(agent: TargetAgent): Standing
+  retractEvidence(isCause: (step: Step) => boolean): void
+  standingOf(agent: TargetAgent): TargetStanding
   /** Steady time up to which it is kept off, in ms; in the past where it is not. */
   excludedUntil(agent: TargetAgent): number
   /** Whether the step fails by itself, so that no target is to blame. */
-  failsByItself(step: Step): boolean
+  isFaulty(step: Step): boolean
   /** Whether a run of the task has failed there. */
   hasFailedOn(agent: TargetAgent, task: Task): boolean
   forget(agent: TargetAgent): void
@@ -67,10 +67,10 @@
 interface TargetRecord {
   ends: End[]
   /** Steps that spoke against it when it was excluded. */
-  basis: Step[]
+  evidence: Step[]
   excludedAt: number
   excludedUntil: number
-  excludeMs: number
+  exclusionMs: number
   /** After an exclusion it gets one task at a time until one ends well. */
   onTrial: boolean
 }
@@ -82,7 +82,7 @@
   /** Number of the end with which it first failed on a target. */
   failedOn: Map<TargetAgent, number>
   /** Whether it has once been seen to fail by itself. */
-  ownFault: boolean
+  isFaulty: boolean
 }
 
 /** Creates a book without evidence. */
@@ -99,10 +99,10 @@
     if (known) return known
     const record: TargetRecord = {
       ends: [],
-      basis: [],
+      evidence: [],
       excludedAt: -Infinity,
       excludedUntil: -Infinity,
-      excludeMs: EXCLUDE_MS,
+      exclusionMs: INITIAL_EXCLUSION_MS,
       onTrial: false,
     }
     records.set(agent, record)
@@ -116,7 +116,7 @@
       anyDone: false,
       failures: 0,
       failedOn: new Map(),
-      ownFault: false,
+      isFaulty: false,
     }
     steps.set(step, record)
     return record
@@ -126,46 +126,55 @@
    * Whether steps that can be done are done there, as far as is known. What was done before
    * the failure in question says nothing of a target that has turned bad since.
    */
-  function isProven(agent: TargetAgent, after: number): boolean {
+  function completesOtherWork(agent: TargetAgent, after: number): boolean {
     const ends = records.get(agent)?.ends ?? []
-    const telling = ends.filter(
+    const relevant = ends.filter(
       ({ number, step }) => number > after && stepRecordOf(step).anyDone,
     )
-    const done = telling.filter(({ failed }) => !failed).length
-    return done > 0 && done * 2 >= telling.length
+    const done = relevant.filter(({ failed }) => !failed).length
+    return done > 0 && done * 2 >= relevant.length
   }
 
   /** Whether a step fails by itself: it was never done, and failed where others are done. */
-  function isOwnFault(step: Step, agent: TargetAgent): boolean {
+  function checkFaulty(step: Step, agent: TargetAgent): boolean {
     const record = stepRecordOf(step)
     if (record.anyDone) return false
     const { failures: count, failedOn } = record
-    record.ownFault ||= [...failedOn].some(
+    record.isFaulty ||= [...failedOn].some(
       ([other, since]) =>
-        (other !== agent || count >= OWN_FAULT_FAILURES) && isProven(other, since),
+        (other !== agent || count >= FAULTY_STEP_FAILURES) &&
+        completesOtherWork(other, since),
     )
-    return record.ownFault
+    return record.isFaulty
   }
 
-  function exclude(agent: TargetAgent, offence: Offence, basis: Step[]): void {
+  function exclude(
+    agent: TargetAgent,
+    suspicionReason: SuspicionReason,
+    evidence: Step[],
+  ): void {
     const record = recordOf(agent)
     const now = monotonicMs()
     if (record.excludedUntil > now) return
-    record.basis = basis
+    record.evidence = evidence
     record.excludedAt = now
-    record.excludedUntil = now + record.excludeMs
-    record.excludeMs = Math.min(MAX_EXCLUDE_MS, record.excludeMs * 2)
+    record.excludedUntil = now + record.exclusionMs
+    record.exclusionMs = Math.min(MAX_EXCLUSION_MS, record.exclusionMs * 2)
     record.onTrial = true
     suspects.set(agent, record)
     log.event('targetSuspect', {
       target: agent.target.id,
-      reason: offence,
+      reason: suspicionReason,
       forMs: Math.round(record.excludedUntil - now),
-      jobs: [...new Set(basis.map(({ job }) => job.spec.id))].join(' '),
+      jobs: [...new Set(evidence.map(({ job }) => job.spec.id))].join(' '),
     })
   }
 
-  function trust(agent: TargetAgent, record: TargetRecord, reason: string): void {
+  function clearSuspicion(
+    agent: TargetAgent,
+    record: TargetRecord,
+    reason: string,
+  ): void {
     record.onTrial = false
     suspects.delete(agent)
     record.excludedUntil = -Infinity
@@ -176,21 +185,22 @@
   function noteDone(agent: TargetAgent, { startedAt }: Task): void {
     const record = recordOf(agent)
     if (!record.onTrial || startedAt < record.excludedAt) return
-    record.excludeMs = EXCLUDE_MS
-    trust(agent, record, 'a task was done there')
+    record.exclusionMs = INITIAL_EXCLUSION_MS
+    clearSuspicion(agent, record, 'a task was done there')
   }
 
   function noteFailure(agent: TargetAgent, step: Step): void {
     const record = recordOf(agent)
-    if (isOwnFault(step, agent)) return
+    if (checkFaulty(step, agent)) return
     if (record.onTrial && record.excludedUntil <= monotonicMs())
       return exclude(agent, 'trial failed', [step])
     const ends = record.ends.filter(({ at }) => at > record.excludedAt)
-    const failed = ends.filter((end) => end.failed && !isOwnFault(end.step, agent))
+    const failed = ends.filter((end) => end.failed && !checkFaulty(end.step, agent))
     const jobs = new Set(failed.map((end) => end.step.job))
-    const enough = failed.length >= SUSPECT_FAILURES && jobs.size >= SUSPECT_JOBS
-    const mostly = failed.length >= ends.length * SUSPECT_SHARE
-    if (!enough || !mostly) return
+    const hasEnoughFailures =
+      failed.length >= SUSPECT_FAILURES && jobs.size >= SUSPECT_JOBS
+    const failsMostly = failed.length >= ends.length * SUSPECT_SHARE
+    if (!hasEnoughFailures || !failsMostly) return
     exclude(
       agent,
       'tasks of several jobs fail',
@@ -198,11 +208,12 @@
     )
   }
 
-  function pardon(isCause: (step: Step, agent: TargetAgent) => boolean): void {
+  function retractEvidence(isCause: (step: Step, agent: TargetAgent) => boolean): void {
     for (const [agent, record] of suspects) {
-      if (record.basis.length === 0) continue
-      record.basis = record.basis.filter((step) => !isCause(step, agent))
-      if (record.basis.length === 0) trust(agent, record, 'its tasks were the cause')
+      if (record.evidence.length === 0) continue
+      record.evidence = record.evidence.filter((step) => !isCause(step, agent))
+      if (record.evidence.length === 0)
+        clearSuspicion(agent, record, 'its tasks were the cause')
     }
   }
 
@@ -214,30 +225,30 @@
       lastEnd++
       record.ends = [...record.ends, { number: lastEnd, at: now, step, failed }]
         .filter(({ at }) => now - at < RECENT_MS)
-        .slice(-RECENT_ENDS)
+        .slice(-MAX_RECENT_ENDS)
       if (!failed) {
         stepRecordOf(step).anyDone = true
         if (!wasSlow) noteDone(agent, task)
-        return pardon(isOwnFault)
+        return retractEvidence(checkFaulty)
       }
       const stepRecord = stepRecordOf(step)
       stepRecord.failures++
       if (!stepRecord.failedOn.has(agent)) stepRecord.failedOn.set(agent, lastEnd)
       failures.set(task, (failures.get(task) ?? new Set()).add(agent))
       noteFailure(agent, step)
-      pardon(isOwnFault)
+      retractEvidence(checkFaulty)
     },
     exclude,
-    pardon,
+    retractEvidence,
     standingOf(agent) {
       const record = records.get(agent)
       if (!record?.onTrial) return 'sound'
       return record.excludedUntil > monotonicMs() ? 'suspect' : 'trial'
     },
     excludedUntil: (agent) => records.get(agent)?.excludedUntil ?? -Infinity,
-    failsByItself(step) {
+    isFaulty(step) {
       const record = steps.get(step)
-      return record !== undefined && record.ownFault && !record.anyDone
+      return record !== undefined && record.isFaulty && !record.anyDone
     },
     hasFailedOn: (agent, task) => failures.get(task)?.has(agent) ?? false,
     forget(agent) {
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/urgency.ts
@@ -7,22 +7,22 @@
 import type { RunTimes } from './runTimes.js'
 
 /** A job is of no use to its caller after so many times its objective. */
-const USELESS_AFTER = 3
+const USELESS_FACTOR = 3
 /** Priority of jobs whose queue is configured no more. */
 const LOWEST_PRIORITY = 1000
 
 /** `timely`: can still meet its objective. `late`: still of some use. */
-type Standing = 'timely' | 'late' | 'useless'
-const STANDING_ORDER: Record<Standing, number> = { timely: 0, late: 1, useless: 2 }
+type Timeliness = 'timely' | 'late' | 'useless'
+const TIMELINESS_ORDER: Record<Timeliness, number> = { timely: 0, late: 1, useless: 2 }
 
 /** Place of a job in the order; compared field by field. */
 export interface Urgency {
   priority: number
-  standing: Standing
+  standing: Timeliness
   /** Steady time by which it should be done, in ms; for useless jobs any time to order them by. */
   deadline: number
   /** Starts that it gets in one round at most; unbounded by default. */
-  mostStarts?: number
+  maxStarts?: number
 }
 
 /**
@@ -43,17 +43,17 @@
   const endsAt = now + delayMs + runTimes.remainingOf(job, now)
   const deadline = job.arrivedAt + objectiveMs
   if (endsAt <= deadline) return { priority, standing: 'timely', deadline }
-  const uselessAt = job.arrivedAt + USELESS_AFTER * objectiveMs
+  const uselessAt = job.arrivedAt + USELESS_FACTOR * objectiveMs
   const standing = endsAt <= uselessAt ? 'late' : 'useless'
   return { priority, standing, deadline: standing === 'late' ? uselessAt : job.arrivedAt }
 }
 
-const compareStanding = (a: Urgency, b: Urgency): number =>
-  a.priority - b.priority || STANDING_ORDER[a.standing] - STANDING_ORDER[b.standing]
+const comparePriority = (a: Urgency, b: Urgency): number =>
+  a.priority - b.priority || TIMELINESS_ORDER[a.standing] - TIMELINESS_ORDER[b.standing]
 
 /** Negative when `a` goes first. */
 export const compareUrgency = (a: Urgency, b: Urgency): number =>
-  compareStanding(a, b) || a.deadline - b.deadline
+  comparePriority(a, b) || a.deadline - b.deadline
 
 /** What places jobs whose owner orders fewer starts than they need. */
 export interface PacedInput {
@@ -83,7 +83,7 @@
   })
   candidates.sort(
     (a, b) =>
-      compareStanding(a.urgency, b.urgency) ||
+      comparePriority(a.urgency, b.urgency) ||
       Number(b.job.begun) - Number(a.job.begun) ||
       a.urgency.deadline - b.urgency.deadline,
   )
@@ -91,7 +91,10 @@
   let startsAhead = 0
   for (const { job, count, urgency } of candidates) {
     const delayed = urgencyOf(job, ((startsAhead + count) * 1000) / perSecond)
-    urgencies.set(job, delayed.standing === 'useless' ? takeTurns(job, delayed) : delayed)
+    urgencies.set(
+      job,
+      delayed.standing === 'useless' ? longestIdleFirst(job, delayed) : delayed,
+    )
     if (delayed.standing === urgency.standing) startsAhead += count
   }
   return urgencies
@@ -101,7 +104,7 @@
  * Jobs that come too late in any case take turns, the one that has run nothing for longest first,
  * so that none of them stands still while its owner finishes others.
  */
-function takeTurns(job: Job, urgency: Urgency): Urgency {
+function longestIdleFirst(job: Job, urgency: Urgency): Urgency {
   if (job.placed > 0) return { ...urgency, deadline: Number.MAX_SAFE_INTEGER }
-  return { ...urgency, deadline: job.idleSince, mostStarts: 1 }
+  return { ...urgency, deadline: job.idleSince, maxStarts: 1 }
 }
--- a/src/scheduler/waitWatch.ts
+++ b/src/scheduler/waitWatch.ts
@@ -12,21 +12,21 @@
 import type { TargetAgent } from './types.js'
 
 /** Wait without an explanation, in ms: callers and operators are told within a second. */
-const UNTOLD_MS = 1000
+const REPORT_AFTER_MS = 1000
 /**
  * Wait with room after which a job stands still, in ms: a job with nowhere else to go is tried
  * on a target under suspicion after 1.5 s, and callers notice 3 s.
  */
 const STALLED_MS = 2000
 /** Time between two lines about one job, in ms. */
-const TELL_EVERY_MS = 1000
+const REPORT_INTERVAL_MS = 1000
 /**
  * Jobs that are explained in one look. Each look asks every rule of every target, and four
  * looks a second at 64 jobs say what holds a service.
  */
-const JOBS_PER_LOOK = 16
+const MAX_JOBS_PER_CHECK = 16
 /** The same of an owner that is behind, whose processor time its starts need. */
-const JOBS_PER_LOOK_BEHIND = 2
+const MAX_JOBS_PER_CHECK_BEHIND = 2
 /** Share of a service's processor room in use above which a job waits for its turn. */
 const BUSY_SHARE = 0.5
 
@@ -54,7 +54,7 @@
 }
 
 /** Targets by the first rule that keeps a task from them. */
-type Holds = Partial<Record<Hold | 'takeover', number>>
+type HoldCounts = Partial<Record<Hold | 'takeover', number>>
 
 /** What the watch works with. */
 export interface WaitWatchOptions {
@@ -71,7 +71,7 @@
 /** Creates a watch that has told nothing. */
 export function createWaitWatch(opts: WaitWatchOptions): WaitWatch {
   const { book, log } = opts
-  const toldAt = new WeakMap<Job, number>()
+  const reportedAt = new WeakMap<Job, number>()
 
   const endOf = (agent: TargetAgent, hold: Hold | undefined): number => {
     if (hold === 'paused') return agent.pausedUntil()
@@ -83,8 +83,8 @@
     step: Step,
     agents: TargetAgent[],
     policy: PlacementPolicy,
-  ): FoundHolds {
-    const found: FoundHolds = { holds: {}, endsAt: Infinity }
+  ): HoldSummary {
+    const found: HoldSummary = { holds: {}, endsAt: Infinity }
     for (const agent of agents) {
       const hold = holdOf(agent, step, policy)
       if (hold === undefined) continue
@@ -102,25 +102,25 @@
     const now = monotonicMs()
     const { step } = task
     const { holds, endsAt } = step.job.gated
-      ? gateOf(agents)
+      ? takeoverHolds(agents)
       : holdsOn(step, agents, policy)
     const endsInMs = Math.max(0, Math.round(endsAt - now))
     return {
       task: task.name,
-      waitedMs: Math.round(now - waitsSince(task)),
+      waitedMs: Math.round(now - waitingSince(task)),
       holds: holds as Record<string, number>,
       endsInMs: Number.isFinite(endsAt) ? endsInMs : undefined,
       couldRunOn: agents.filter((agent) => couldRun(agent, step)).length,
     }
   }
 
-  function tell(job: Job, wait: WaitReport, busy: boolean): void {
+  function logWait(job: Job, wait: WaitReport, busy: boolean): void {
     const { task, waitedMs, holds, endsInMs, couldRunOn } = wait
     const fields = {
       job: job.spec.id,
       task,
       waitedMs,
-      hold: mostOf(holds),
+      hold: mostFrequentHold(holds),
       targets: JSON.stringify(holds),
       endsInMs,
       couldRunOn,
@@ -139,28 +139,28 @@
       const now = monotonicMs()
       const busy = isBusy(agents)
       const policy = opts.policyNow(agents)
-      let left = opts.isBehind() ? JOBS_PER_LOOK_BEHIND : JOBS_PER_LOOK
+      let left = opts.isBehind() ? MAX_JOBS_PER_CHECK_BEHIND : MAX_JOBS_PER_CHECK
       for (const job of book.open) {
         if (left === 0) return
-        if (now - (toldAt.get(job) ?? -Infinity) < TELL_EVERY_MS) continue
+        if (now - (reportedAt.get(job) ?? -Infinity) < REPORT_INTERVAL_MS) continue
         const task = waitingTaskOf(job)
-        if (!task || now - waitsSince(task) < UNTOLD_MS) continue
+        if (!task || now - waitingSince(task) < REPORT_AFTER_MS) continue
         left--
-        toldAt.set(job, now)
-        tell(job, reportOf(task, agents, policy), busy)
+        reportedAt.set(job, now)
+        logWait(job, reportOf(task, agents, policy), busy)
       }
     },
   }
 }
 
 /** Rules that hold a task, by count of targets, and the steady time when one ends, in ms. */
-interface FoundHolds {
-  holds: Holds
+interface HoldSummary {
+  holds: HoldCounts
   endsAt: number
 }
 
 /** An inherited job waits until the last target that may run something of it is settled. */
-function gateOf(agents: TargetAgent[]): FoundHolds {
+function takeoverHolds(agents: TargetAgent[]): HoldSummary {
   const unsettled = agents.filter((agent) => !agent.isSettled())
   const endsAt = Math.max(-Infinity, ...unsettled.map((agent) => agent.settledBy()))
   return { holds: { takeover: unsettled.length }, endsAt }
@@ -179,13 +179,13 @@
 }
 
 /** The hold that concerns most targets; `noTarget` where there is none. */
-function mostOf(holds: WaitReport['holds']): string {
+function mostFrequentHold(holds: WaitReport['holds']): string {
   const [first] = Object.entries(holds).sort(([, a], [, b]) => b - a)
   return first?.[0] ?? 'noTarget'
 }
 
 /** Since when the task could run and its job, or itself where it lasts, runs nothing. */
-const waitsSince = ({ readySince, step }: Task): number =>
+const waitingSince = ({ readySince, step }: Task): number =>
   step.spec.lasting ? readySince : Math.max(readySince, step.job.idleSince)
 
 /** The first task of the job that waits: of a job that runs something, only one that lasts. */
