--- a/src/scheduler/__tests__/standingJobs.spec.ts
+++ b/src/scheduler/__tests__/standingJobs.spec.ts
@@ -22,7 +22,7 @@
 import type { JobSpec } from '../../jobs/index.js'
 
 /** Longest time for which a job with room for it may run nothing, in ms. */
-const LONGEST_STANDSTILL_MS = 3000
+const MAX_STALL_MS = 3000
 
 /** A rig that stops with its test, also with one that fails. */
 function startRig(t: ExecutionContext): JobRig {
@@ -35,7 +35,7 @@
   ledger.entries.filter(({ task }) => task.startsWith(id))
 
 /** Longest time up to now for which nothing of the job ran, from `since` on, in ms. */
-function longestStandstill(rig: JobRig, job: JobSpec, since: number): number {
+function longestStall(rig: JobRig, job: JobSpec, since: number): number {
   let running = 0
   let idleSince = since
   let longest = 0
@@ -53,7 +53,7 @@
 }
 
 /** Hands in jobs until the target is under suspicion. */
-async function bringUnderSuspicion(rig: JobRig, owner: RigOwner): Promise<void> {
+async function submitUntilSuspect(rig: JobRig, owner: RigOwner): Promise<void> {
   const endsAt = monotonicMs() + 5000
   while (rig.suspects().length === 0 && monotonicMs() < endsAt) {
     rig.submit(owner, makeJob({ ms: 40, cpu: 400 }))
@@ -84,14 +84,14 @@
       const target = rig.addTarget('t1')
       const owner = await rig.own()
       target.faults.failsAll = true
-      await bringUnderSuspicion(rig, owner)
+      await submitUntilSuspect(rig, owner)
       target.faults.failsAll = false
       const job = makeJob({ ms: 40, cpu: 400 })
       const since = monotonicMs()
       rig.submit(owner, job)
       await rig.settled([job], 8000)
       t.is(rig.outcomeOf(job), 'completed')
-      t.true(longestStandstill(rig, job, since) < LONGEST_STANDSTILL_MS)
+      t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
 
     it('are tried again and again while the target goes on failing', async (t) => {
@@ -99,13 +99,12 @@
       const target = rig.addTarget('t1')
       const owner = await rig.own()
       target.faults.failsAll = true
-      await bringUnderSuspicion(rig, owner)
+      await submitUntilSuspect(rig, owner)
       const jobs = [makeJob({ ms: 40, cpu: 400 }), makeJob({ ms: 40, cpu: 400 })]
       const since = monotonicMs()
       for (const job of jobs) rig.submit(owner, job)
       t.true(await rig.settled(jobs, 10_000))
-      for (const job of jobs)
-        t.true(longestStandstill(rig, job, since) < LONGEST_STANDSTILL_MS)
+      for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
 
     it('are not stopped as standing still with nowhere else to go', async (t) => {
@@ -117,7 +116,7 @@
       const since = monotonicMs()
       rig.submit(owner, job)
       await sleep(7500)
-      t.true(longestStandstill(rig, job, since) < LONGEST_STANDSTILL_MS)
+      t.true(longestStall(rig, job, since) < MAX_STALL_MS)
       t.deepEqual(
         entriesOf(rig, job).filter(({ what }) => what === 'stopped'),
         [],
@@ -169,7 +168,7 @@
       const since = monotonicMs()
       rig.submit(owner, long)
       t.true(await rig.settled([long], 16_000))
-      t.true(longestStandstill(rig, long, since) < LONGEST_STANDSTILL_MS)
+      t.true(longestStall(rig, long, since) < MAX_STALL_MS)
     })
   })
 
@@ -205,8 +204,7 @@
     )
     for (const job of jobs) rig.submit(owner, job)
     t.true(await rig.settled(jobs, 10_000))
-    for (const job of jobs)
-      t.true(longestStandstill(rig, job, since) < LONGEST_STANDSTILL_MS)
+    for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
   })
 
   it('go elsewhere after a failure', async (t) => {
@@ -249,7 +247,7 @@
     const owner = await rig.own()
     await sleep(200)
     bad.faults.failsAll = true
-    await bringUnderSuspicion(rig, owner)
+    await submitUntilSuspect(rig, owner)
     t.deepEqual(rig.suspects(), ['t1'])
     const { targets } = owner.report()
     t.deepEqual(
--- a/src/scheduler/__tests__/waitWatch.spec.ts
+++ b/src/scheduler/__tests__/waitWatch.spec.ts
@@ -11,13 +11,13 @@
 /** Longest wait for a line on a busy machine, in ms. */
 const MAX_WAIT_MS = 10_000
 
-const linesOf = ({ log }: JobRig, event: EventName) =>
+const eventsOf = ({ log }: JobRig, event: EventName) =>
   log.events.filter(({ name }) => name === event).map(({ fields }) => fields)
 
-async function firstLine(rig: JobRig, event: EventName) {
+async function firstEvent(rig: JobRig, event: EventName) {
   const endsAt = performance.now() + MAX_WAIT_MS
-  while (linesOf(rig, event).length === 0 && performance.now() < endsAt) await sleep(20)
-  return linesOf(rig, event)[0]
+  while (eventsOf(rig, event).length === 0 && performance.now() < endsAt) await sleep(20)
+  return eventsOf(rig, event)[0]
 }
 
 describe('createWaitWatch', () => {
@@ -28,13 +28,13 @@
     const owner = await rig.own()
     const job = makeJob({ ms: 20, cpu: CAPACITY.cpu + 1 })
     rig.submit(owner, job)
-    t.like(await firstLine(rig, 'taskWaits'), {
+    t.like(await firstEvent(rig, 'taskWaits'), {
       job: job.id,
       hold: 'size',
       targets: '{"size":2}',
       couldRunOn: 0,
     })
-    t.deepEqual(linesOf(rig, 'jobStalled'), [])
+    t.deepEqual(eventsOf(rig, 'jobStalled'), [])
     const report = waitReportSchema.parse(owner.explain(job.id))
     t.like(report, { task: `${job.id}.0.0.0`, holds: { size: 2 }, couldRunOn: 0 })
     t.is(owner.explain('0123456789abcdef'), undefined)
@@ -49,8 +49,8 @@
     await sleep(100)
     const second = makeJob({ ms: 20, cpu: 3000 }, [{ count: 1 }])
     rig.submit(owner, second)
-    t.like(await firstLine(rig, 'taskWaits'), { job: second.id, hold: 'room' })
-    t.deepEqual(linesOf(rig, 'jobStalled'), [])
+    t.like(await firstEvent(rig, 'taskWaits'), { job: second.id, hold: 'room' })
+    t.deepEqual(eventsOf(rig, 'jobStalled'), [])
     await rig.stop()
   })
 
@@ -60,7 +60,7 @@
     const owner = await rig.own()
     rig.submit(owner, makeJob({ ms: 3000, cpu: 1500 }, [{ count: 4 }]))
     await sleep(REPORTED_WITHIN_MS)
-    t.deepEqual(linesOf(rig, 'taskWaits'), [])
+    t.deepEqual(eventsOf(rig, 'taskWaits'), [])
     await rig.stop()
   })
 
@@ -72,8 +72,8 @@
     owner.evacuate({ evacuate: ['t1'], hurry: [], ended: [] })
     const job = makeJob({ ms: 20, cpu: 100 })
     rig.submit(owner, job)
-    t.like(await firstLine(rig, 'taskWaits'), { hold: 'evacuating', couldRunOn: 1 })
-    t.truthy(await firstLine(rig, 'jobStalled'))
+    t.like(await firstEvent(rig, 'taskWaits'), { hold: 'evacuating', couldRunOn: 1 })
+    t.truthy(await firstEvent(rig, 'jobStalled'))
     await rig.stop()
   })
 
@@ -88,9 +88,9 @@
     const job = makeJob({ ms: 20, cpu: 100 })
     rig.submit(first, job)
     await rig.own()
-    const line = await firstLine(rig, 'taskWaits')
-    t.like(line, { job: job.id, hold: 'takeover', targets: '{"takeover":1}' })
-    t.true(Number(line?.['endsInMs']) > 0)
+    const event = await firstEvent(rig, 'taskWaits')
+    t.like(event, { job: job.id, hold: 'takeover', targets: '{"takeover":1}' })
+    t.true(Number(event?.['endsInMs']) > 0)
     await rig.stop()
   })
 })
--- a/src/scheduler/badRuns.ts
+++ b/src/scheduler/badRuns.ts
@@ -181,7 +181,7 @@
     return isBadAmongNormalRuns(run, agent, all) ? 'job' : 'unclear'
   }
 
-  function noteBad(step: Step, agent: TargetAgent): void {
+  function recordBadTarget(step: Step, agent: TargetAgent): void {
     const known = badTargets.get(step) ?? new Set()
     if (known.size < MAX_BAD_TARGETS) badTargets.set(step, known.add(agent))
   }
@@ -203,7 +203,7 @@
         continue
       if (!isSlowerThanRestart(own, percent)) continue
       const cause = findCause(own, all)
-      noteBad(task.step, agent)
+      recordBadTarget(task.step, agent)
       if (cause === 'job') longRunningSteps.add(task.step)
       else found.push({ agent, placement, task, cause, mayRestartInPlace: false })
     }
@@ -221,12 +221,12 @@
       const isStepFaulty = areOthersNormal && isBadAmongNormalRuns(task, agent, all)
       const mayRestartInPlace = areOthersNormal || ms > RESTART_IN_PLACE_AFTER_MS
       found.push({ agent, placement, task, mayRestartInPlace, isStepFaulty })
-      noteBad(task.step, agent)
+      recordBadTarget(task.step, agent)
     }
     return found
   }
 
-  function sweepOne(agent: TargetAgent, all: Paces): BadRun[] {
+  function sweepTarget(agent: TargetAgent, all: Paces): BadRun[] {
     const stalled = stalledRuns(agent, all)
     const slow = slowRuns(agent, all).filter(
       (run) => !stalled.some(({ placement }) => placement === run.placement),
@@ -263,7 +263,7 @@
       const all = groupPaces(
         answering.flatMap((agent) => [...pacesOn(agent), ...recentlyDone(agent)]),
       )
-      const found = answering.flatMap((agent) => sweepOne(agent, all))
+      const found = answering.flatMap((agent) => sweepTarget(agent, all))
       suspicion.retractEvidence((step) => longRunningSteps.has(step))
       return found
     },
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -59,7 +59,7 @@
   const soundTargetExists = new Map<Step, boolean>()
   /** Number of tasks that may still be tried, for jobs that this round has tried already. */
   const triesLeft = new Map<Job, number>()
-  const onTrial = new Set<TargetAgent>()
+  const targetsTried = new Set<TargetAgent>()
 
   /** Whether another failure of a task of the step would end the job. */
   const isLastAttempt = ({ tasks, job }: Step): boolean =>
@@ -103,11 +103,11 @@
       if (step.spec.lasting) return false
       const standing = health.standingOf(agent)
       if (standing === 'sound' || mayUseSuspects(step)) return false
-      return standing === 'suspect' || onTrial.has(agent) || hasFiniteTask(agent)
+      return standing === 'suspect' || targetsTried.has(agent) || hasFiniteTask(agent)
     },
     recordPlanned(agent, step) {
       if (step.spec.lasting || health.standingOf(agent) === 'sound') return
-      onTrial.add(agent)
+      targetsTried.add(agent)
       if (!step.spec.gang) noteTry(step.job)
     },
   }
--- a/src/scheduler/suspicion.ts
+++ b/src/scheduler/suspicion.ts
@@ -86,7 +86,7 @@
   anyDone: boolean
   failures: number
   /** Number of the first failed run on each target. */
-  failedOn: Map<TargetAgent, number>
+  firstFailures: Map<TargetAgent, number>
   /** Whether the step has been found to be the cause of its failures. */
   isFaulty: boolean
 }
@@ -97,7 +97,7 @@
   /** Targets that are excluded or on trial, kept apart since each ended run examines them. */
   const suspects = new Map<TargetAgent, TargetRecord>()
   const steps = new WeakMap<Step, StepRecord>()
-  let lastEnd = 0
+  let lastEndNumber = 0
   const failures = new WeakMap<Task, Set<TargetAgent>>()
 
   function recordOf(agent: TargetAgent): TargetRecord {
@@ -121,7 +121,7 @@
     const record: StepRecord = {
       anyDone: false,
       failures: 0,
-      failedOn: new Map(),
+      firstFailures: new Map(),
       isFaulty: false,
     }
     steps.set(step, record)
@@ -146,8 +146,8 @@
   function checkFaulty(step: Step, agent: TargetAgent): boolean {
     const record = stepRecordOf(step)
     if (record.anyDone) return false
-    const { failures: count, failedOn } = record
-    record.isFaulty ||= [...failedOn].some(
+    const { failures: count, firstFailures } = record
+    record.isFaulty ||= [...firstFailures].some(
       ([other, since]) =>
         (other !== agent || count >= FAULTY_STEP_FAILURES) &&
         completesOtherWork(other, since),
@@ -229,8 +229,8 @@
       const { step } = task
       const record = recordOf(agent)
       const now = monotonicMs()
-      lastEnd++
-      record.ends = [...record.ends, { number: lastEnd, at: now, step, failed }]
+      lastEndNumber++
+      record.ends = [...record.ends, { number: lastEndNumber, at: now, step, failed }]
         .filter(({ at }) => now - at < RECENT_MS)
         .slice(-MAX_RECENT_ENDS)
       if (!failed) {
@@ -240,7 +240,8 @@
       }
       const stepRecord = stepRecordOf(step)
       stepRecord.failures++
-      if (!stepRecord.failedOn.has(agent)) stepRecord.failedOn.set(agent, lastEnd)
+      if (!stepRecord.firstFailures.has(agent))
+        stepRecord.firstFailures.set(agent, lastEndNumber)
       failures.set(task, (failures.get(task) ?? new Set()).add(agent))
       noteFailure(agent, step)
       retractEvidence(checkFaulty)
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/urgency.ts
@@ -55,12 +55,12 @@
   return { priority, standing, deadline: standing === 'late' ? uselessAt : job.arrivedAt }
 }
 
-const comparePriority = (a: Urgency, b: Urgency): number =>
+const comparePriorityAndTimeliness = (a: Urgency, b: Urgency): number =>
   a.priority - b.priority || TIMELINESS_ORDER[a.standing] - TIMELINESS_ORDER[b.standing]
 
 /** Compares two urgencies; negative if `a` comes first. */
 export const compareUrgency = (a: Urgency, b: Urgency): number =>
-  comparePriority(a, b) || a.deadline - b.deadline
+  comparePriorityAndTimeliness(a, b) || a.deadline - b.deadline
 
 /** Input for the urgencies of jobs whose owner orders fewer starts than they need. */
 export interface PacedInput {
@@ -91,7 +91,7 @@
   })
   candidates.sort(
     (a, b) =>
-      comparePriority(a.urgency, b.urgency) ||
+      comparePriorityAndTimeliness(a.urgency, b.urgency) ||
       Number(b.job.begun) - Number(a.job.begun) ||
       a.urgency.deadline - b.urgency.deadline,
   )
