--- a/src/scheduler/demand.ts
+++ b/src/scheduler/demand.ts
@@ -44,7 +44,7 @@
   ): ServiceReport
 }
 
-/** Room that tasks need, in thousandths of a core; for the backlog multiplied by ms of run time. */
+/** Room that tasks need, in thousandths of a core; for the backlog in thousandths times ms. */
 interface Demand {
   lasting: number
   running: number
@@ -105,7 +105,10 @@
     return meter
   }
 
-  /** Returns the room needed by the scarcer resource. */
+  /**
+   * Returns the room that isolated steps and the scarcer resource need.
+   * @param amountOf returns the room for the demand of one resource
+   */
   const roomFor = (
     { cpu, memory, isolated }: DemandTotals,
     amountOf: (amounts: Demand) => number,
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -59,6 +59,7 @@
   const soundTargetExists = new Map<Step, boolean>()
   /** Number of tasks that may still be tried, for jobs that this round has tried already. */
   const triesLeft = new Map<Job, number>()
+  /** Targets on trial or suspect that have a start planned in this round. */
   const targetsTried = new Set<TargetAgent>()
 
   /** Whether another failure of a task of the step would end the job. */
