--- a/src/scheduler/__tests__/badRuns.spec.ts
+++ b/src/scheduler/__tests__/badRuns.spec.ts
@@ -1,4 +1,4 @@
-/** Runs that stand still or crawl, and whose fault that is. */
+/** Detection of stalled and slow runs, and of the cause: the target or the job. */
 import { describe, it } from '../../../test/describe.js'
 import { createStillBook } from '../../../test/fixtures.js'
 import { makeJob } from '../../../test/jobRig.js'
@@ -10,7 +10,7 @@
 import type { TargetAgent } from '../types.js'
 import type { Placement } from '../targetRuns.js'
 
-/** Run time of the queue's tasks, in ms, as far as the owner has seen. */
+/** Observed run time of the queue's tasks, in ms. */
 const USUAL_MS = 1000
 
 function newTasks(count: number): Task[] {
@@ -18,7 +18,7 @@
   return book.add(makeJob({ cpu: 100 }, [{ count }])).occurrences[0]!.steps[0]!.tasks
 }
 
-/** A target on which tasks have run since 0. */
+/** Returns a target whose tasks have been running since time 0. */
 function agentWith(id: string, tasks: Task[]): TargetAgent {
   const placements = new Map<string, Partial<Placement>>()
   for (const task of tasks) {
@@ -41,7 +41,7 @@
 }
 
 describe('createBadRuns', () => {
-  it('finds a run that stands still, and accuses its target once', (t) => {
+  it('finds a stalled run and counts it against its target only once', (t) => {
     const { suspicion, badRuns } = start()
     const agent = agentWith('t1', newTasks(1))
     report(agent, 1000, 80)
@@ -54,7 +54,7 @@
     t.is(suspicion.standingOf(agent), 'sound')
   })
 
-  it('waits as long as a run takes for some percent', (t) => {
+  it('scales the stall limit with the time that a run needs per percent', (t) => {
     const { badRuns } = start()
     const agent = agentWith('t1', newTasks(1))
     report(agent, 30_000, 3)
@@ -66,7 +66,7 @@
   })
 
   describe('slow run', () => {
-    it('is moved where the same step gets on elsewhere', (t) => {
+    it('is moved if the same step is faster on another target', (t) => {
       const { suspicion, badRuns } = start()
       const tasks = newTasks(4)
       const slow = agentWith('t1', tasks.slice(0, 2))
@@ -78,7 +78,7 @@
       t.is(suspicion.standingOf(slow), 'suspect')
     })
 
-    it('is left where other jobs get on: its tasks are long by nature', (t) => {
+    it('is not moved if other jobs have a normal pace on its target', (t) => {
       const { suspicion, badRuns } = start()
       const long = newTasks(2)
       const agent = agentWith('t1', [...long, ...newTasks(3)])
@@ -89,7 +89,7 @@
       t.is(suspicion.standingOf(agent), 'sound')
     })
 
-    it('is moved once where nothing tells whose fault it is', (t) => {
+    it('is moved only once if the cause is unclear', (t) => {
       const { badRuns } = start()
       const agent = agentWith('t1', newTasks(2))
       report(agent, 2000, 10)
--- a/src/scheduler/__tests__/badTargets.spec.ts
+++ b/src/scheduler/__tests__/badTargets.spec.ts
@@ -1,10 +1,10 @@
-/** Targets that fail, crawl, stand still, drain or go: what an owner does with their tasks. */
+/** What an owner does with the tasks of targets that fail, are slow, stall, drain or disappear. */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
-describe('owner of a service with bad or leaving targets', () => {
-  it('stops using a target that fails what it starts', async (t) => {
+describe('owner of a service with faulty or leaving targets', () => {
+  it('stops using a target whose runs all fail', async (t) => {
     const rig = createJobRig()
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
@@ -22,9 +22,9 @@
     await rig.stop()
   })
 
-  // Found on a drawn day of tsb-sofia: a new owner had only the callers' guesses, took
-  // healthy targets for slow and stopped what ran there.
-  it('calls no target slow by a guess of the run time alone', async (t) => {
+  // A new owner knows only the callers' estimates. Judged by these, healthy targets would seem slow
+  // and the owner would stop their runs.
+  it('treats no target as slow because of estimated run times alone', async (t) => {
     const rig = createJobRig()
     const target = rig.addTarget('t1')
     rig.addTarget('t2')
@@ -38,7 +38,7 @@
     await rig.stop()
   })
 
-  it('starts tasks elsewhere that stand still', async (t) => {
+  it('restarts stalled tasks on another target', async (t) => {
     const rig = createJobRig()
     const bad = rig.addTarget('t1')
     const owner = await rig.own()
@@ -53,7 +53,7 @@
     await rig.stop()
   })
 
-  it('moves lasting tasks off a target that drains', async (t) => {
+  it('moves lasting tasks off a draining target', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -73,9 +73,9 @@
     await rig.stop()
   })
 
-  // An entry lapses with the store, or goes without a word of leaving before.
-  describe('target that goes from the list', () => {
-    /** Three lasting tasks on two targets, one of which takes up to three. */
+  // The entry of a target lapses in an outage of the store, or disappears without a drain before.
+  describe('target that disappears from the list', () => {
+    /** Starts three lasting tasks on `t1`, adds `t2` and removes `t1` from the list. */
     async function startLasting(listSteadySince: number) {
       const rig = createJobRig()
       rig.listSteadySince = listSteadySince
@@ -92,7 +92,7 @@
     const stopsOf = ({ ledger }: ReturnType<typeof createJobRig>) =>
       ledger.entries.filter(({ what }) => what === 'stopped')
 
-    it('keeps its tasks while it may come back after an outage', async (t) => {
+    it('keeps its tasks while it may reappear after an outage', async (t) => {
       const rig = await startLasting(performance.now())
       await sleep(1300)
       t.deepEqual(stopsOf(rig), [])
@@ -104,12 +104,12 @@
       await rig.stop()
     })
 
-    it('is emptied no faster than its steps can spare', async (t) => {
+    it('is emptied no faster than its steps allow', async (t) => {
       const rig = await startLasting(-Infinity)
       await sleep(6500)
       const stops = stopsOf(rig)
       t.is(stops.length, 3)
-      // Each task was at work elsewhere for a while before the next one was stopped.
+      // Each task has been running elsewhere for a while before the next one is stopped.
       for (const [index, stop] of stops.entries()) {
         const before = stops[index - 1]
         if (before) t.true(stop.at - before.at > 1000, `${stop.at - before.at} ms`)
--- a/src/scheduler/__tests__/demand.spec.ts
+++ b/src/scheduler/__tests__/demand.spec.ts
@@ -46,7 +46,7 @@
 }
 
 describe('createDemandMeter', () => {
-  it('tells a need that has grown since the last report', (t) => {
+  it('detects that the need has grown since the last report', (t) => {
     const { book, demand, add, reportAt } = startMeter()
     t.false(demand.hasGrown(book.open, 0))
     demand.arrived(add(1, 0), 0)
@@ -55,7 +55,7 @@
     t.false(demand.hasGrown(book.open, 0))
   })
 
-  it('tells apart what can still be in time', (t) => {
+  it('counts only jobs that can still meet their objective as timely', (t) => {
     const timely = startMeter(true)
     timely.add(1, 0)
     t.is(timely.reportAt(0).timelyCpu, timely.reportAt(0).neededCpu)
@@ -65,7 +65,7 @@
     t.true(late.reportAt(0).neededCpu > 0)
   })
 
-  it('asks for no more than is in use where its owner cannot order more', (t) => {
+  it('limits the need to little more than the room in use while its owner is behind', (t) => {
     const { book, add, reportAt } = startMeter(true, true)
     const { steps } = add(1, 0).occurrences[0]!
     add(2, 0)
@@ -75,16 +75,16 @@
     t.true(neededCpu >= 4000 && neededCpu < 8000)
   })
 
-  it('asks for the targets that have the memory, where that is scarcer', (t) => {
+  it('derives the need from memory if that is the scarcer resource', (t) => {
     const lasting = { count: 4, cpu: 1000, memMb: 32_000, lasting: true }
     const { book, add, demand } = startMeter(true, false, lasting)
     add(1, 0)
-    // Two of the tasks fill the memory of a target, and a sixteenth of its processor.
+    // Two of the tasks use all the memory of a target, and a sixteenth of its processor.
     const { neededCpu } = demand.report('one', 1, book.open, [TARGET], 0)
     t.is(Math.round(neededCpu), 2 * ROOM.cpu)
   })
 
-  it('asks for a target for each step that will probably crash one', (t) => {
+  it('adds a target for each step that will probably crash one', (t) => {
     const { book, add, demand } = startMeter(false)
     const [task] = add(1, 0).occurrences[0]!.steps[0]!.tasks
     const reportNow = () => demand.report('one', 1, book.open, [TARGET], 0).neededCpu
@@ -95,14 +95,14 @@
     t.is(Math.round(reportNow() - before), 32_000)
   })
 
-  // A new owner that knew only what waited had its VMs taken in the middle of a turn.
-  it("expects of a predecessor's queue what came to it lately", (t) => {
+  // A new owner that counted only waiting jobs would lose its VMs while its queue is still busy.
+  it("expects the recent arrival rate of a predecessor's queue to continue", (t) => {
     const { book, demand, add, reportAt } = startMeter(false)
     for (let number = 0; number < 12; number++) add(number, 10_000 + number * 100)
     const before = reportAt(500).timelyCpu
     demand.inherited([...book.jobs.values()], 500, 11_200)
     t.is(before, 0)
-    // Ten jobs a second of four core-seconds each.
+    // Ten jobs per second with four core-seconds each.
     const expected = reportAt(500).timelyCpu
     t.true(expected > 25_000 && expected < 60_000, String(expected))
   })
--- a/src/scheduler/__tests__/pacedUrgencies.spec.ts
+++ b/src/scheduler/__tests__/pacedUrgencies.spec.ts
@@ -7,7 +7,7 @@
 
 const PER_SECOND = 10
 
-/** Places of jobs of four tasks each, of which the first is the oldest. */
+/** Computes the urgencies of jobs with four tasks each; the first job is the oldest. */
 function computeUrgencies(
   count: number,
   prepare: (jobs: Job[]) => void = () => undefined,
@@ -29,13 +29,13 @@
 
 describe('pacedUrgencies', () => {
   describe('for more jobs than their owner can order in time', () => {
-    it('leaves in time only those that it can finish in time', (t) => {
+    it('keeps only those timely that it can finish in time', (t) => {
       const { jobs, urgencies } = computeUrgencies(20)
       const inTime = jobs.filter((job) => urgencies.get(job)?.standing === 'timely')
       t.true(inTime.length > 0 && inTime.length < 5)
     })
 
-    it('finishes what has begun before it begins another job', (t) => {
+    it('keeps a job that has begun timely, even if it is the newest', (t) => {
       const { jobs, urgencies } = computeUrgencies(
         20,
         (all) => (all.at(-1)!.begun = true),
@@ -48,8 +48,8 @@
     })
   })
 
-  describe('for jobs that come too late in any case', () => {
-    it('lets the one begin that has stood still for longest, with one task', (t) => {
+  describe('for jobs that are too late in any case', () => {
+    it('puts the longest idle one first, with one start', (t) => {
       const { jobs, urgencies } = computeUrgencies(20, (all) => {
         for (const [index, job] of all.entries()) {
           job.arrivedAt = -60_000
@@ -68,7 +68,7 @@
   })
 
   describe('for jobs that can all be ordered in time', () => {
-    it('leaves all of them in time', (t) => {
+    it('keeps all of them timely', (t) => {
       const { jobs, urgencies } = computeUrgencies(2)
       t.true(jobs.every((job) => urgencies.get(job)?.standing === 'timely'))
     })
--- a/src/scheduler/__tests__/planner.spec.ts
+++ b/src/scheduler/__tests__/planner.spec.ts
@@ -74,7 +74,7 @@
     t.is(waiting.size, 1)
   })
 
-  it('never goes beyond the room of a target', (t) => {
+  it('never exceeds the room of a target', (t) => {
     const counts = fc.array(
       fc.record({
         count: fc.integer({ min: 1, max: 9 }),
@@ -102,7 +102,7 @@
     t.pass()
   })
 
-  it('keeps to label, spread and unusable targets', (t) => {
+  it('respects labels, limits per target and unusable targets', (t) => {
     const agents = [
       fakeAgent('t1', 9000, ['r1-1', 'x']),
       fakeAgent('t2', 9000),
@@ -118,8 +118,8 @@
     t.is(spread.waiting.size, 1)
   })
 
-  // Ten starts for one slow target, chosen because it was fullest, waited 3 s for one another.
-  it('places no more on a target than it takes at once, but a gang', (t) => {
+  // Ten starts on one slow target, preferred as the fullest, would wait 3 s for one another.
+  it('plans no more starts on a target than it accepts at once, except for a gang', (t) => {
     const slow = fakeAgent('t1', 5000, ['r1-1'], true, 3)
     const agents = [slow, fakeAgent('t2', 9000)]
     const { starts, waiting } = plan([makeJob({ cpu: 100 }, [{ count: 10 }])], agents)
@@ -133,7 +133,7 @@
     t.is(gang.starts.length, 10)
   })
 
-  it('prefers the rack of the data, and suspects only where nothing else fits', (t) => {
+  it('prefers the rack of the data, and uses penalised targets only if no other fits', (t) => {
     const agents = [fakeAgent('t1', 2000, ['r1-1']), fakeAgent('t2', 2000, ['r1-2'])]
     const near = plan([makeJob({ cpu: 900 }, [{ count: 2, dataRack: 'r1-2' }])], agents)
     t.deepEqual(
@@ -147,7 +147,7 @@
     )
   })
 
-  it('starts a gang whole or not at all, in one rack where it asks for that', (t) => {
+  it('starts all tasks of a gang or none, in one rack if requested and possible', (t) => {
     const agents = [
       fakeAgent('t1', 1000, ['r1-1']),
       fakeAgent('t2', 1000, ['r1-2']),
@@ -163,9 +163,9 @@
     t.is(plan([gang(4)], agents).starts.length, 0)
   })
 
-  // A step that needs as much as one that found no room is not looked at. With every step
-  // special, each is: the naive way.
-  it('starts the same as one that looks at every target for each step', (t) => {
+  // The planner skips a step that needs at least as much as one that found no target. It searches
+  // all targets for every step for which `isSpecial` returns true.
+  it('plans the same starts as a search of all targets for each step', (t) => {
     const steps = fc.array(
       fc.record({
         count: fc.integer({ min: 1, max: 6 }),
@@ -213,7 +213,7 @@
 })
 
 describe('compareUrgency', () => {
-  it('puts what can be in time before what is late, and that before what is useless', (t) => {
+  it('orders timely jobs before late ones and late ones before useless ones', (t) => {
     const base = { priority: 0, deadline: 5 }
     const order = [
       { ...base, standing: 'useless' as const, deadline: 1 },
--- a/src/scheduler/__tests__/refusedDemand.spec.ts
+++ b/src/scheduler/__tests__/refusedDemand.spec.ts
@@ -1,12 +1,11 @@
 /**
- * What users saw: of a queue that had its turn in an outage of the store a tenth was in time,
- * and most of what was accepted after the outage came too late.
- * Order of events: the turn begins; a second later the store is gone and all jobs are refused,
- * rightly; the VMs stay where the last turn needed them; when the store is back, jobs are
- * accepted 59 a second and one VM comes; a cut of the cloud's hall then holds back the others.
- * Cause: what a queue needs was learned from accepted jobs alone, so an outage hid it.
- * Evidence: orders for VMs by second and pool (none for this queue from 30 to 38 s), 368 of
- * 750 jobs accepted and ended too late, 132 refused.
+ * Guards against VMs that are requested too late because an outage of the store hides the demand.
+ *
+ * When the need was computed from accepted jobs alone, a queue whose load began 1 s before an
+ * outage requested no VMs for 8 s, as all its jobs were rightly refused. The VMs stayed with the
+ * queue that had been busy before. After the outage 59 jobs per second were accepted and one VM
+ * arrived; a network cut of the cloud's data hall delayed the others. A tenth of the queue's jobs
+ * were in time. Of 750 jobs 132 were refused, and 368 were accepted and ended too late.
  */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
@@ -24,8 +23,8 @@
   await rig.stop()
 }
 
-describe('jobs that were refused for an outage of the store', () => {
-  it('are expected, in touch with the store or not', async (t) => {
+describe('jobs refused during an outage of the store', () => {
+  it('count as expected work, with confirmed ownership or without', async (t) => {
     for (const confirmed of [true, false]) {
       await withOwner((owner) => {
         owner.confirmed = confirmed
@@ -36,7 +35,7 @@
     }
   })
 
-  it('are not run and not counted as waiting', async (t) => {
+  it('are neither run nor counted as waiting', async (t) => {
     await withOwner(async (owner, rig) => {
       const [job] = makeJobs(1)
       owner.expect(job!)
@@ -47,7 +46,7 @@
     })
   })
 
-  it('count once, however often their callers try', async (t) => {
+  it('count once, however often their callers retry', async (t) => {
     await withOwner((owner) => {
       const jobs = makeJobs(10)
       for (const job of jobs) owner.expect(job)
--- a/src/scheduler/__tests__/standingJobs.spec.ts
+++ b/src/scheduler/__tests__/standingJobs.spec.ts
@@ -1,18 +1,15 @@
 /**
- * What users saw: accepted jobs had nothing running for 5 to 20 s, though a target of their
- * service was up and empty.
+ * Guards against jobs that run nothing for 5 to 20 s although a target of their service is up and
+ * empty.
  *
- * Order of events: a pool had one or two targets; runs failed there or were stopped as too slow,
- * three of them within 11 ms; the targets came under suspicion, one after another; nothing was
- * tried on them until the suspicion was over, 5.03 s later; then two runs started, were stopped
- * 2.2 s later as too slow, and the next suspicion lasted twice as long. No other VM was asked for.
+ * In a pool of one or two targets, runs failed or were stopped as slow, three of them within 11 ms,
+ * and all targets became suspect. Nothing was tried on them until the exclusion ended 5.03 s later.
+ * The next two runs were stopped as slow after 2.2 s, and the second exclusion was twice as long.
+ * No other VM was requested.
  *
- * Cause: evidence against a target was weighed without asking what else there was, a run was
- * stopped to be done sooner elsewhere without an elsewhere, tasks that are long by nature were
- * taken for slow targets, and a target under suspicion counted as one that could be used.
- *
- * Evidence: the times of stops and starts in the users' record; here, the rules that
- * `taskWaits` names (`suspect` for every target) for as long as the job stands.
+ * There were four faults: targets were excluded without regard to alternatives, slow runs were
+ * stopped without room on another target, long tasks were blamed on their targets, and suspect
+ * targets counted as usable. During such a stall `taskWaits` names `suspect` for every target.
  */
 import type { ExecutionContext } from 'ava'
 import { describe, it } from '../../../test/describe.js'
@@ -21,10 +18,10 @@
 import { monotonicMs, sleep } from '../../shared/index.js'
 import type { JobSpec } from '../../jobs/index.js'
 
-/** Longest time for which a job with room for it may run nothing, in ms. */
+/** Longest time for which a job may run nothing while a target has room for it, in ms. */
 const MAX_STALL_MS = 3000
 
-/** A rig that stops with its test, also with one that fails. */
+/** Creates a rig that is stopped when its test ends, also if the test fails. */
 function startRig(t: ExecutionContext): JobRig {
   const rig = createJobRig()
   t.teardown(() => rig.stop())
@@ -34,7 +31,7 @@
 const entriesOf = ({ ledger }: JobRig, { id }: JobSpec) =>
   ledger.entries.filter(({ task }) => task.startsWith(id))
 
-/** Longest time up to now for which nothing of the job ran, from `since` on, in ms. */
+/** Returns the longest time from `since` until now for which nothing of the job ran, in ms. */
 function longestStall(rig: JobRig, job: JobSpec, since: number): number {
   let running = 0
   let idleSince = since
@@ -52,7 +49,7 @@
   return running > 0 || over ? longest : Math.max(longest, monotonicMs() - idleSince)
 }
 
-/** Hands in jobs until the target is under suspicion. */
+/** Submits jobs until a target is suspect, for 5 s at most. */
 async function submitUntilSuspect(rig: JobRig, owner: RigOwner): Promise<void> {
   const endsAt = monotonicMs() + 5000
   while (rig.suspects().length === 0 && monotonicMs() < endsAt) {
@@ -70,16 +67,16 @@
   await rig.settled(jobs, 5000)
 }
 
-/** An owner that knows that its queue's tasks take 60 ms. */
+/** Starts an owner that has learned that its queue's tasks take 60 ms. */
 async function ownWithRunTimes(rig: JobRig): Promise<RigOwner> {
   const owner = await rig.own()
   await submitMany(rig, owner, 10, 60)
   return owner
 }
 
-describe('jobs that stand still', () => {
+describe('jobs on suspect, slow or stalled targets', () => {
   describe('in a pool of one target', () => {
-    it('are tried again within 3 s of the failures of others', async (t) => {
+    it('are tried again within 3 s of failures of other jobs', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
       const owner = await rig.own()
@@ -94,7 +91,7 @@
       t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
 
-    it('are tried again and again while the target goes on failing', async (t) => {
+    it('are tried repeatedly while the target keeps failing', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
       const owner = await rig.own()
@@ -107,7 +104,7 @@
       for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
 
-    it('are not stopped as standing still with nowhere else to go', async (t) => {
+    it('are not stopped as stalled without another target', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
       const owner = await rig.own()
@@ -124,8 +121,9 @@
     })
   })
 
-  // Found by the soak: what hung was the run alone, and two of 65 jobs had no end after 30 s.
-  it('begin anew on the only target when one run of theirs hangs there', async (t) => {
+  // If only the run hangs and not its target, a job that waits for another target never ends: two
+  // of 65 jobs had not ended after 30 s.
+  it('restart on the only target if one of their runs hangs there', async (t) => {
     const rig = startRig(t)
     const target = rig.addTarget('t1')
     const owner = await ownWithRunTimes(rig)
@@ -141,8 +139,8 @@
     t.is(rig.outcomeOf(job), 'completed')
   })
 
-  describe('whose tasks are long by nature', () => {
-    it('are not stopped as slow beside others that get on', async (t) => {
+  describe('whose tasks take long on any target', () => {
+    it('are not stopped as slow beside jobs with a normal pace', async (t) => {
       const rig = startRig(t)
       rig.addTarget('t1')
       rig.addTarget('t2')
@@ -159,7 +157,7 @@
       t.deepEqual(rig.suspects(), [])
     })
 
-    it('are done although both targets of the pool seem slow', async (t) => {
+    it('end without a stall although both targets of the pool seem slow', async (t) => {
       const rig = startRig(t)
       rig.addTarget('t1')
       rig.addTarget('t2')
@@ -172,7 +170,7 @@
     })
   })
 
-  it('are stopped as slow only where another target has room', async (t) => {
+  it('are stopped as slow only if another target has room', async (t) => {
     const rig = startRig(t)
     const slow = rig.addTarget('t1')
     const owner = await ownWithRunTimes(rig)
@@ -184,7 +182,7 @@
     await sleep(100)
     for (const job of jobs) rig.submit(owner, job)
     await sleep(4000)
-    // Judged slow, or there would be nothing to keep from being stopped.
+    // The target must be suspect: otherwise the runs would not be stopped in any case.
     t.deepEqual(rig.suspects(), ['t1'])
     for (const job of jobs) {
       const stops = entriesOf(rig, job).filter(({ what }) => what === 'stopped')
@@ -192,7 +190,7 @@
     }
   })
 
-  it('are tried with their last attempt too, where the sound targets cannot take them', async (t) => {
+  it('are tried with their last attempt too if no sound target can run them', async (t) => {
     const rig = startRig(t)
     const bad = rig.addTarget('t1', { labels: ['r1-1', 'x'] })
     rig.addTarget('t2')
@@ -207,7 +205,7 @@
     for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
   })
 
-  it('go elsewhere after a failure', async (t) => {
+  it('complete on another target after a failure', async (t) => {
     const rig = startRig(t)
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
@@ -220,7 +218,7 @@
     t.is(rig.outcomeOf(job), 'completed')
   })
 
-  it('of callers that fail everywhere cost no target its tasks', async (t) => {
+  it('do not make targets suspect if they fail on every target', async (t) => {
     const rig = startRig(t)
     for (const id of ['t1', 't2', 't3']) rig.addTarget(id)
     const owner = await rig.own()
@@ -240,7 +238,7 @@
     for (const job of sound) t.is(rig.outcomeOf(job), 'completed')
   })
 
-  it('have another VM asked for, where a target fails all it starts', async (t) => {
+  it('cause a target that fails every run to be reported as suspect', async (t) => {
     const rig = startRig(t)
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
--- a/src/scheduler/__tests__/startWindow.spec.ts
+++ b/src/scheduler/__tests__/startWindow.spec.ts
@@ -2,7 +2,7 @@
 import { createMemoryLogger } from '../../shared/index.js'
 import { createStartWindow } from '../startWindow.js'
 
-/** An owner whose targets answer so many starts a second, one after another. */
+/** Simulates an owner whose starts are answered one after another at the given rate. */
 function createOwner(startsPerSecond: number) {
   let now = 0
   let freed = 0
@@ -15,7 +15,7 @@
   return {
     window,
     freed: () => freed,
-    /** Orders what the window allows, for so long. */
+    /** Orders as many starts as the window allows for `ms` of simulated time. */
     run(ms: number): void {
       const endsAt = now + ms
       while (now < endsAt) {
@@ -35,20 +35,20 @@
 
 describe('createStartWindow', () => {
   describe('for an owner with little processor time', () => {
-    it('lets no start wait for seconds behind others', (t) => {
+    it('keeps so few starts in flight that none waits for seconds', (t) => {
       const owner = createOwner(15)
       owner.run(6000)
       t.true(owner.inFlight() <= 8)
       t.true(owner.window.isBehind())
     })
 
-    it('knows how many starts it orders in a second', (t) => {
+    it('measures the rate of its starts', (t) => {
       const owner = createOwner(15)
       owner.run(6000)
       t.true(Math.abs(owner.window.perSecond() - 15) < 5)
     })
 
-    it('tells when there is room for a start again', (t) => {
+    it('reports when a full window has space again', (t) => {
       const owner = createOwner(15)
       owner.run(1000)
       t.true(owner.freed() > 0)
@@ -56,7 +56,7 @@
   })
 
   describe('for an owner whose starts are answered at once', () => {
-    it('does not hold its starts up', (t) => {
+    it('does not limit its starts', (t) => {
       const owner = createOwner(2000)
       owner.run(2000)
       t.true(owner.window.perSecond() > 1900)
@@ -65,7 +65,7 @@
   })
 
   describe('after an owner was behind', () => {
-    it('ends that once starts are answered in time', (t) => {
+    it('no longer counts it as behind after a time without late answers', (t) => {
       const owner = createOwner(15)
       owner.run(6000)
       owner.idle(3000)
@@ -74,7 +74,7 @@
   })
 
   describe('with starts that were not sent', () => {
-    it('counts them as over, and as no sign of the pace', (t) => {
+    it('counts them as ended and ignores them for the rate', (t) => {
       const { window } = createOwner(15)
       const before = window.left()
       window.opened()
--- a/src/scheduler/__tests__/suspicion.spec.ts
+++ b/src/scheduler/__tests__/suspicion.spec.ts
@@ -1,4 +1,4 @@
-/** What brings a target under suspicion, and what takes it back. */
+/** How a target becomes suspect, and how it is cleared. */
 import { describe, it } from '../../../test/describe.js'
 import { createStillBook } from '../../../test/fixtures.js'
 import { makeJob } from '../../../test/jobRig.js'
@@ -9,7 +9,7 @@
 
 const agentOf = (id: string) => ({ target: { id } }) as TargetAgent
 
-/** The tasks of a new job, none of which has begun. */
+/** Returns the tasks of a new job, none of which has begun. */
 function newTasks(): Task[] {
   const book = createStillBook()
   return book.add(makeJob({ cpu: 100 }, [{ count: 4 }])).occurrences[0]!.steps[0]!.tasks
@@ -24,7 +24,7 @@
 }
 
 describe('createSuspicion', () => {
-  it('suspects a target where tasks of several jobs fail, not of one', (t) => {
+  it('suspects a target if tasks of several jobs fail there, not of a single job', (t) => {
     const { suspicion, endTasks } = start()
     const agent = agentOf('t1')
     endTasks(agent, newTasks(), true)
@@ -33,7 +33,7 @@
     t.is(suspicion.standingOf(agent), 'suspect')
   })
 
-  it('trusts a target again where a task that began under suspicion was done', (t) => {
+  it('clears a target once a task that began after its exclusion succeeds', (t) => {
     const { suspicion, endTasks } = start()
     const agent = agentOf('t1')
     for (const tasks of [newTasks(), newTasks()]) endTasks(agent, tasks.slice(0, 1), true)
@@ -47,10 +47,10 @@
     t.is(suspicion.standingOf(agent), 'sound')
   })
 
-  // In a pool of one target a third of the jobs failed wherever they ran: the target was under
-  // suspicion nearly all the time, and jobs that had twelve attempts had no end after 30 s.
-  describe('a step that fails by itself', () => {
-    it('is told by other jobs that are done on the only target', (t) => {
+  // In a pool of one target, a third of the jobs may fail wherever they run. If the target is
+  // blamed, it is suspect nearly all the time, and jobs with twelve attempts do not end in 30 s.
+  describe('a faulty step', () => {
+    it('is detected by successes of other jobs on the only target', (t) => {
       const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
       const bad = [newTasks(), newTasks()]
@@ -63,7 +63,7 @@
       t.true(bad.every(([task]) => suspicion.isFaulty(task!.step)))
     })
 
-    it('is not told by what was done before the target turned bad', (t) => {
+    it('is not detected by successes before the target became faulty', (t) => {
       const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
       for (let each = 0; each < 2; each++) endTasks(agent, newTasks().slice(0, 2), false)
@@ -73,7 +73,7 @@
       t.false(bad.some(([task]) => suspicion.isFaulty(task!.step)))
     })
 
-    it('is no evidence once it has failed where others are done', (t) => {
+    it('is no evidence against a target once it has failed where others succeed', (t) => {
       const { suspicion, endTasks } = start()
       const [first, second] = [agentOf('t1'), agentOf('t2')]
       const bad = [newTasks(), newTasks()]
@@ -85,7 +85,7 @@
       t.is(suspicion.standingOf(second), 'sound')
     })
 
-    it('is not told where nothing else is done', (t) => {
+    it('is not detected without successes of other jobs', (t) => {
       const { suspicion, endTasks } = start()
       const agent = agentOf('t1')
       const tasks = newTasks()
--- a/src/scheduler/__tests__/waitWatch.spec.ts
+++ b/src/scheduler/__tests__/waitWatch.spec.ts
@@ -1,4 +1,4 @@
-/** Jobs that wait are explained: by which rule, on how many targets, and until when. */
+/** Reports on waiting jobs: the rules that hold them, on how many targets, and until when. */
 import { describe, it } from '../../../test/describe.js'
 import { CAPACITY, createJobRig, makeJob } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
@@ -6,9 +6,9 @@
 import { sleep } from '../../shared/index.js'
 import type { EventName } from '../../shared/index.js'
 
-/** Three looks beyond the second after which a wait is told. */
+/** The second after which a wait is reported, and three checks more, in ms. */
 const REPORTED_WITHIN_MS = 1800
-/** Longest wait for a line on a busy machine, in ms. */
+/** Longest wait for an event on a busy machine, in ms. */
 const MAX_WAIT_MS = 10_000
 
 const eventsOf = ({ log }: JobRig, event: EventName) =>
@@ -21,7 +21,7 @@
 }
 
 describe('createWaitWatch', () => {
-  it('tells that no target is large enough', async (t) => {
+  it('reports that no target is large enough', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     rig.addTarget('t2')
@@ -41,7 +41,7 @@
     await rig.stop()
   })
 
-  it('tells a turn in a queue from a standstill', async (t) => {
+  it('distinguishes a turn in a queue from a stall', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -54,7 +54,7 @@
     await rig.stop()
   })
 
-  it('says nothing of jobs that run something', async (t) => {
+  it('reports nothing for jobs with running tasks', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -64,7 +64,7 @@
     await rig.stop()
   })
 
-  it('names a target of which all are being emptied as what holds the job', async (t) => {
+  it('reports a stall if all targets are being evacuated', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -77,7 +77,7 @@
     await rig.stop()
   })
 
-  it('says until when an inherited job waits for a target that is silent', async (t) => {
+  it('reports how long an inherited job waits for a silent target', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const silent = rig.addTarget('t2')
