--- a/src/scheduler/__tests__/planner.spec.ts
+++ b/src/scheduler/__tests__/planner.spec.ts
@@ -163,8 +163,8 @@
     t.is(plan([gang(4)], agents).starts.length, 0)
   })
 
-  // The planner skips a step that needs at least as much as one that found no target. It searches
-  // all targets for every step for which `isSpecial` returns true.
+  // The planner skips a step that needs at least as much as one that found no target, but not if
+  // the policy may treat the step differently. The second plan therefore searches all targets.
   it('plans the same starts as a search of all targets for each step', (t) => {
     const steps = fc.array(
       fc.record({
--- a/src/scheduler/badRuns.ts
+++ b/src/scheduler/badRuns.ts
@@ -33,8 +33,8 @@
 /** Number of slow runs at the same time that makes a target suspect. */
 const MIN_SLOW_RUNS = 2
 /**
- * Maximum number of times a slow task is moved, by cause. Each move discards the task's progress. A
- * task that is slow again after a move reveals an unclear cause.
+ * Maximum number of times a slow task is moved, by cause. Each move discards the task's progress.
+ * If the cause is unclear, one move reveals it: the task is slow again or not.
  */
 const MAX_SLOW_MOVES: Record<Cause, number> = { target: 2, unclear: 1, job: 0 }
 /** Maximum number of targets recorded for a step that was slow there; a few are sufficient. */
@@ -193,7 +193,7 @@
     return leftMs > 2 * runTimes.meanOf(step)
   }
 
-  /** Returns the runs on one target that are slow for another reason than their job. */
+  /** Returns the slow runs on one target, except those whose job is the cause. */
   function slowRuns(agent: TargetAgent, all: Paces): SlowRun[] {
     const found: SlowRun[] = []
     for (const placement of agent.placements.values()) {
--- a/src/scheduler/placementRules.ts
+++ b/src/scheduler/placementRules.ts
@@ -99,8 +99,9 @@
 }
 
 /**
- * Whether the target could run one more task of the step: it answers, is listed, is not draining
- * and has room. Limits on starts and the placement policy are not considered.
+ * Whether the target could run one more task of the step: it answers, is listed, is not draining,
+ * and meets the step's needs, label and limit per target. Limits on starts and the placement policy
+ * are not considered.
  */
 export function couldRun(agent: TargetAgent, step: Step): boolean {
   if (!agent.isAnswering() || !agent.listed || agent.target.draining) return false
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -62,7 +62,7 @@
   /** Targets on trial or suspect that have a start planned in this round. */
   const targetsTried = new Set<TargetAgent>()
 
-  /** Whether another failure of a task of the step would end the job. */
+  /** Whether one more failure would end the job, so that it should wait for a sound target. */
   const isLastAttempt = ({ tasks, job }: Step): boolean =>
     tasks.some((task) => task.failedRuns.size + 1 >= input.maxAttemptsOf(job))
 
--- a/src/scheduler/suspicion.ts
+++ b/src/scheduler/suspicion.ts
@@ -21,7 +21,7 @@
  * them were on one target: a pool may have no other.
  */
 const FAULTY_STEP_FAILURES = 3
-/** First exclusion from new tasks, in ms; doubled with each further one up to the maximum. */
+/** First and longest exclusion from new tasks, in ms. Doubled each time; reset by a success. */
 const INITIAL_EXCLUSION_MS = 5000
 const MAX_EXCLUSION_MS = 20_000
 
@@ -94,7 +94,7 @@
 /** Creates the records of one service, without any evidence. */
 export function createSuspicion(log: Logger): Suspicion {
   const records = new Map<TargetAgent, TargetRecord>()
-  /** Targets that are excluded or on trial, kept apart since each ended run examines them. */
+  /** Targets that are excluded or on trial: few, so that each ended run can examine all of them. */
   const suspects = new Map<TargetAgent, TargetRecord>()
   const steps = new WeakMap<Step, StepRecord>()
   let lastEndNumber = 0
