--- a/src/scheduler/__tests__/badRuns.spec.ts
+++ b/src/scheduler/__tests__/badRuns.spec.ts
@@ -4,7 +4,7 @@
 import { makeJob } from '../../../test/jobRig.js'
 import type { Task } from '../../jobs/index.js'
 import { createMemoryLogger } from '../../shared/index.js'
-import { createBadRuns } from '../badRuns.js'
+import { createRunMonitor } from '../badRuns.js'
 import { createRunTimes } from '../runTimes.js'
 import { createSuspicion } from '../suspicion.js'
 import type { TargetAgent } from '../types.js'
@@ -37,66 +37,66 @@
   const runTimes = createRunTimes()
   const suspicion = createSuspicion(createMemoryLogger())
   for (const task of newTasks(20)) runTimes.note(task, USUAL_MS)
-  return { suspicion, badRuns: createBadRuns(runTimes, suspicion) }
+  return { suspicion, runMonitor: createRunMonitor(runTimes, suspicion) }
 }
 
 describe('createBadRuns', () => {
   it('finds a stalled run and counts it against its target only once', (t) => {
-    const { suspicion, badRuns } = start()
+    const { suspicion, runMonitor } = start()
     const agent = agentWith('t1', newTasks(1))
     report(agent, 1000, 80)
-    t.deepEqual(badRuns.sweep([agent]), [])
+    t.deepEqual(runMonitor.sweep([agent]), [])
     report(agent, 3400, 80)
-    t.is(badRuns.sweep([agent]).length, 1)
+    t.is(runMonitor.sweep([agent]).length, 1)
     t.is(suspicion.standingOf(agent), 'suspect')
     suspicion.retractEvidence(() => true)
-    t.is(badRuns.sweep([agent]).length, 1)
+    t.is(runMonitor.sweep([agent]).length, 1)
     t.is(suspicion.standingOf(agent), 'sound')
   })
 
   it('scales the stall limit with the time that a run needs per percent', (t) => {
-    const { badRuns } = start()
+    const { runMonitor } = start()
     const agent = agentWith('t1', newTasks(1))
     report(agent, 30_000, 3)
-    badRuns.sweep([agent])
+    runMonitor.sweep([agent])
     report(agent, 50_000, 3)
-    t.false(badRuns.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
+    t.false(runMonitor.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
     report(agent, 61_000, 3)
-    t.true(badRuns.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
+    t.true(runMonitor.sweep([agent]).some(({ mayRestartInPlace }) => mayRestartInPlace))
   })
 
   describe('slow run', () => {
     it('is moved if the same step is faster on another target', (t) => {
-      const { suspicion, badRuns } = start()
+      const { suspicion, runMonitor } = start()
       const tasks = newTasks(4)
       const slow = agentWith('t1', tasks.slice(0, 2))
       const quick = agentWith('t2', tasks.slice(2))
       report(slow, 2000, 10)
       report(quick, 2000, 60)
-      const found = badRuns.sweep([slow, quick])
+      const found = runMonitor.sweep([slow, quick])
       t.deepEqual(new Set(found.map(({ agent }) => agent)), new Set([slow]))
       t.is(suspicion.standingOf(slow), 'suspect')
     })
 
     it('is not moved if other jobs have a normal pace on its target', (t) => {
-      const { suspicion, badRuns } = start()
+      const { suspicion, runMonitor } = start()
       const long = newTasks(2)
       const agent = agentWith('t1', [...long, ...newTasks(3)])
       report(agent, 1300, 90)
       for (const task of long)
         Object.assign(agent.placements.get(task.name)!, { percent: 10 })
-      t.deepEqual(badRuns.sweep([agent]), [])
+      t.deepEqual(runMonitor.sweep([agent]), [])
       t.is(suspicion.standingOf(agent), 'sound')
     })
 
     it('is moved only once if the cause is unclear', (t) => {
-      const { badRuns } = start()
+      const { runMonitor } = start()
       const agent = agentWith('t1', newTasks(2))
       report(agent, 2000, 10)
-      const found = badRuns.sweep([agent])
+      const found = runMonitor.sweep([agent])
       t.is(found.length, 2)
-      for (const run of found) badRuns.noteMoved(run)
-      t.deepEqual(badRuns.sweep([agent]), [])
+      for (const run of found) runMonitor.noteMoved(run)
+      t.deepEqual(runMonitor.sweep([agent]), [])
     })
   })
 })
--- a/src/scheduler/badRuns.ts
+++ b/src/scheduler/badRuns.ts
@@ -38,14 +38,14 @@
  */
 const MAX_SLOW_MOVES: Record<Cause, number> = { target: 2, unclear: 1, job: 0 }
 /** Maximum number of targets recorded for a step that was slow there; a few are sufficient. */
-const MAX_BAD_TARGETS = 8
+const MAX_SLOW_TARGETS = 8
 /** Time for which the pace of a finished run counts for its target, in ms. */
 const RECENT_MS = 8000
 /** Maximum number of finished runs that are kept for each target. */
 const RECENT_RUNS = 10
 
 /** A stalled or slow run that would be finished sooner if it were restarted. */
-export interface BadRun {
+export interface UnhealthyRun {
   agent: TargetAgent
   placement: Placement
   task: Task
@@ -54,13 +54,13 @@
 }
 
 /** The check for stalled and slow runs of one service. */
-export interface BadRuns {
+export interface RunMonitor {
   /** Records a run that succeeded; returns whether it was slow. */
   noteDone(agent: TargetAgent, task: Task): boolean
   /** Checks all present runs, marks targets as suspect and returns the runs to move. */
-  sweep(agents: TargetAgent[]): BadRun[]
+  sweep(agents: TargetAgent[]): UnhealthyRun[]
   /** Records that a run was stopped to be restarted. */
-  noteMoved(run: BadRun): void
+  noteMoved(run: UnhealthyRun): void
   /** Discards the records of a target that is gone. */
   forget(agent: TargetAgent): void
 }
@@ -88,11 +88,11 @@
 /** Why a run is slow. */
 type Cause = 'target' | 'job' | 'unclear'
 
-interface SlowRun extends BadRun {
+interface SlowRun extends UnhealthyRun {
   cause: Cause
 }
 
-interface StalledRun extends BadRun {
+interface StalledRun extends UnhealthyRun {
   /** Whether the step has also been stalled or slow on a second target where others are normal. */
   isStepFaulty: boolean
 }
@@ -103,11 +103,11 @@
 }
 
 /** Creates the check for stalled and slow runs, without any records. */
-export function createBadRuns(runTimes: RunTimes, suspicion: Suspicion): BadRuns {
+export function createRunMonitor(runTimes: RunTimes, suspicion: Suspicion): RunMonitor {
   const progress = new WeakMap<Placement, Progress>()
   const moves = new WeakMap<Task, number>()
   /** Targets on which a step was slow or stalled. */
-  const badTargets = new WeakMap<Step, Set<TargetAgent>>()
+  const slowTargets = new WeakMap<Step, Set<TargetAgent>>()
   /** Steps whose tasks take long on any target. */
   const longRunningSteps = new WeakSet<Step>()
   const done = new Map<TargetAgent, Pace[]>()
@@ -127,9 +127,9 @@
       progress.set(placement, { percent, since: reportedAt })
       return 0
     }
-    const pointMs = percent > 0 ? (before.since - task.startedAt) / percent : 0
+    const percentMs = percent > 0 ? (before.since - task.startedAt) / percent : 0
     const doubled = 2 ** Math.min(MAX_DOUBLINGS, movesOf(task))
-    const limitMs = Math.max(STALL_MS, STALL_FACTOR * pointMs) * doubled
+    const limitMs = Math.max(STALL_MS, STALL_FACTOR * percentMs) * doubled
     const ms = reportedAt - before.since
     return ms > limitMs ? ms : 0
   }
@@ -164,8 +164,12 @@
     others.length > 0 && medianOf(others) >= NORMAL_PACE
 
   /** Whether the step has been slow or stalled on another target where other jobs are normal. */
-  const isBadAmongNormalRuns = (run: RunStart, agent: TargetAgent, all: Paces): boolean =>
-    [...(badTargets.get(run.step) ?? [])].some(
+  const isSlowAmongNormalRuns = (
+    run: RunStart,
+    agent: TargetAgent,
+    all: Paces,
+  ): boolean =>
+    [...(slowTargets.get(run.step) ?? [])].some(
       (other) => other !== agent && isNormalPace(otherJobsOn(other, run, all)),
     )
 
@@ -178,12 +182,12 @@
     if (elsewhere.some((each) => each.pace >= pace * FASTER_FACTOR)) return 'target'
     const others = otherJobsOn(agent, run, all)
     if (others.length > 0) return isNormalPace(others) ? 'job' : 'target'
-    return isBadAmongNormalRuns(run, agent, all) ? 'job' : 'unclear'
+    return isSlowAmongNormalRuns(run, agent, all) ? 'job' : 'unclear'
   }
 
-  function recordBadTarget(step: Step, agent: TargetAgent): void {
-    const known = badTargets.get(step) ?? new Set()
-    if (known.size < MAX_BAD_TARGETS) badTargets.set(step, known.add(agent))
+  function recordSlowTarget(step: Step, agent: TargetAgent): void {
+    const known = slowTargets.get(step) ?? new Set()
+    if (known.size < MAX_SLOW_TARGETS) slowTargets.set(step, known.add(agent))
   }
 
   /** Whether the rest of a run takes longer than a restart elsewhere, including the move. */
@@ -203,7 +207,7 @@
         continue
       if (!isSlowerThanRestart(own, percent)) continue
       const cause = findCause(own, all)
-      recordBadTarget(task.step, agent)
+      recordSlowTarget(task.step, agent)
       if (cause === 'job') longRunningSteps.add(task.step)
       else found.push({ agent, placement, task, cause, mayRestartInPlace: false })
     }
@@ -218,20 +222,20 @@
       const ms = hasMeasurableSpeed(task.step) ? stalledMs(placement, task) : 0
       if (ms === 0) continue
       const areOthersNormal = isNormalPace(otherJobsOn(agent, task, all))
-      const isStepFaulty = areOthersNormal && isBadAmongNormalRuns(task, agent, all)
+      const isStepFaulty = areOthersNormal && isSlowAmongNormalRuns(task, agent, all)
       const mayRestartInPlace = areOthersNormal || ms > RESTART_IN_PLACE_AFTER_MS
       found.push({ agent, placement, task, mayRestartInPlace, isStepFaulty })
-      recordBadTarget(task.step, agent)
+      recordSlowTarget(task.step, agent)
     }
     return found
   }
 
-  function sweepTarget(agent: TargetAgent, all: Paces): BadRun[] {
+  function sweepTarget(agent: TargetAgent, all: Paces): UnhealthyRun[] {
     const stalled = stalledRuns(agent, all)
     const slow = slowRuns(agent, all).filter(
       (run) => !stalled.some(({ placement }) => placement === run.placement),
     )
-    const stepsOf = (runs: BadRun[]): Step[] => runs.map(({ task }) => task.step)
+    const stepsOf = (runs: UnhealthyRun[]): Step[] => runs.map(({ task }) => task.step)
     const newlyStalled = stalled.filter(
       ({ placement, isStepFaulty }) => !isStepFaulty && !countedStalls.has(placement),
     )
--- a/src/scheduler/health.ts
+++ b/src/scheduler/health.ts
@@ -4,15 +4,15 @@
  */
 import type { Step, Task } from '../jobs/index.js'
 import type { Logger } from '../shared/index.js'
-import { createBadRuns } from './badRuns.js'
-import type { BadRuns } from './badRuns.js'
+import { createRunMonitor } from './badRuns.js'
+import type { RunMonitor } from './badRuns.js'
 import type { RunTimes } from './runTimes.js'
 import { createSuspicion } from './suspicion.js'
 import type { TargetStanding } from './suspicion.js'
 import type { TargetAgent } from './types.js'
 
 /** Health of the targets of one service. */
-export interface Health extends Pick<BadRuns, 'sweep' | 'noteMoved'> {
+export interface Health extends Pick<RunMonitor, 'sweep' | 'noteMoved'> {
   /** Records the end of a run; kinds other than `done` and `failed` are ignored. */
   noteEnd(agent: TargetAgent, task: Task, kind: string): void
   standingOf(agent: TargetAgent): TargetStanding
@@ -33,11 +33,11 @@
 /** Creates the health of targets without any records. */
 export function createHealth(opts: { runTimes: RunTimes; log: Logger }): Health {
   const suspicion = createSuspicion(opts.log)
-  const badRuns = createBadRuns(opts.runTimes, suspicion)
+  const runMonitor = createRunMonitor(opts.runTimes, suspicion)
 
   const END_HANDLERS: Record<string, (agent: TargetAgent, task: Task) => void> = {
     done: (agent, task) =>
-      suspicion.noteEnd(agent, task, false, badRuns.noteDone(agent, task)),
+      suspicion.noteEnd(agent, task, false, runMonitor.noteDone(agent, task)),
     failed: (agent, task) => suspicion.noteEnd(agent, task, true, false),
   }
 
@@ -49,11 +49,11 @@
     penaltyOf: (agent, task) =>
       PENALTIES[suspicion.standingOf(agent)] +
       (suspicion.hasFailedOn(agent, task) ? FAILED_HERE_PENALTY : 0),
-    sweep: badRuns.sweep,
-    noteMoved: badRuns.noteMoved,
+    sweep: runMonitor.sweep,
+    noteMoved: runMonitor.noteMoved,
     forget(agent) {
       suspicion.forget(agent)
-      badRuns.forget(agent)
+      runMonitor.forget(agent)
     },
   }
 }
--- a/src/scheduler/moveBadRuns.ts
+++ b/src/scheduler/moveBadRuns.ts
@@ -7,7 +7,7 @@
 import type { TargetAgent } from './types.js'
 
 /** Dependencies of {@link moveBadRuns}. */
-export interface MoveBadRunsOptions {
+export interface MoveUnhealthyRunsOptions {
   /** All targets of the service. */
   agents: TargetAgent[]
   health: Health
@@ -20,12 +20,17 @@
  * may restart in place. Otherwise all runs of a job may be stopped, three of them within 11 ms, and
  * the job runs nothing for seconds.
  */
-export function moveBadRuns({ agents, health, starter, log }: MoveBadRunsOptions): void {
-  const bad = health.sweep(agents)
-  if (bad.length === 0) return
+export function moveBadRuns({
+  agents,
+  health,
+  starter,
+  log,
+}: MoveUnhealthyRunsOptions): void {
+  const unhealthy = health.sweep(agents)
+  if (unhealthy.length === 0) return
   const sound = agents.filter((agent) => health.standingOf(agent) === 'sound')
   const room = createRelocationRoom(sound, starter.policyNow(agents))
-  for (const run of bad) {
+  for (const run of unhealthy) {
     const { agent, placement, task, mayRestartInPlace } = run
     if (placement.state !== 'running') continue
     if (!room.reserve(task.step, agent) && !mayRestartInPlace) continue
