--- a/src/scheduler/__tests__/badRuns.spec.ts
+++ b/src/scheduler/__tests__/badRuns.spec.ts
@@ -40,7 +40,7 @@
   return { suspicion, runMonitor: createRunMonitor(runTimes, suspicion) }
 }
 
-describe('createBadRuns', () => {
+describe('createRunMonitor', () => {
   it('finds a stalled run and counts it against its target only once', (t) => {
     const { suspicion, runMonitor } = start()
     const agent = agentWith('t1', newTasks(1))
--- a/src/scheduler/moveBadRuns.ts
+++ b/src/scheduler/moveBadRuns.ts
@@ -6,7 +6,7 @@
 import type { Starter } from './starter.js'
 import type { TargetAgent } from './types.js'
 
-/** Dependencies of {@link moveBadRuns}. */
+/** Input of one pass over the unhealthy runs. */
 export interface MoveUnhealthyRunsOptions {
   /** All targets of the service. */
   agents: TargetAgent[]
@@ -16,9 +16,9 @@
 }
 
 /**
- * Stops stalled and slow runs. A run is stopped only if a sound target has room for it now or it
- * may restart in place. Otherwise all runs of a job may be stopped, three of them within 11 ms, and
- * the job runs nothing for seconds.
+ * Stops the unhealthy runs that the run monitor finds. A run is stopped only if a sound target has
+ * room for it now or it may restart in place. Otherwise all runs of a job may be stopped, three of
+ * them within 11 ms, and the job runs nothing for seconds.
  */
 export function moveBadRuns({
   agents,
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -48,7 +48,7 @@
   maxAttemptsOf(job: Job): number
 }
 
-/** Whether the target runs a task that is not lasting. */
+/** Whether the target runs anything but lasting tasks. */
 const hasFiniteTask = (agent: TargetAgent): boolean =>
   [...agent.placements.values()].some(({ task }) => !task?.step.spec.lasting)
 
--- a/src/scheduler/waitWatch.ts
+++ b/src/scheduler/waitWatch.ts
@@ -154,7 +154,7 @@
   }
 }
 
-/** Number of targets by rule, and the steady time at which the first hold ends, in ms. */
+/** Number of targets by rule, and the steady time at which the wait may end, in ms. */
 interface HoldSummary {
   holds: HoldCounts
   endsAt: number
