--- a/src/scheduler/__tests__/waitWatch.spec.ts
+++ b/src/scheduler/__tests__/waitWatch.spec.ts
@@ -1,4 +1,4 @@
-/** Jobs that wait are explained: by which rule, on how many targets, and until when. */
+/** Reports on waiting jobs: the rules that hold them, on how many targets, and until when. */
 import { describe, it } from '../../../test/describe.js'
 import { CAPACITY, createJobRig, makeJob } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
@@ -6,42 +6,42 @@
 import { sleep } from '../../shared/index.js'
 import type { EventName } from '../../shared/index.js'
 
-/** Three looks beyond the second after which a wait is told. */
-const TOLD_WITHIN_MS = 1800
-/** Longest wait for a line on a busy machine, in ms. */
-const PATIENCE_MS = 10_000
+/** The second after which a wait is reported, and three checks more, in ms. */
+const REPORTED_WITHIN_MS = 1800
+/** Longest wait for an event on a busy machine, in ms. */
+const MAX_WAIT_MS = 10_000
 
-const linesOf = ({ log }: JobRig, event: EventName) =>
+const eventsOf = ({ log }: JobRig, event: EventName) =>
   log.events.filter(({ name }) => name === event).map(({ fields }) => fields)
 
-async function firstLine(rig: JobRig, event: EventName) {
-  const endsAt = performance.now() + PATIENCE_MS
-  while (linesOf(rig, event).length === 0 && performance.now() < endsAt) await sleep(20)
-  return linesOf(rig, event)[0]
+async function firstEvent(rig: JobRig, event: EventName) {
+  const endsAt = performance.now() + MAX_WAIT_MS
+  while (eventsOf(rig, event).length === 0 && performance.now() < endsAt) await sleep(20)
+  return eventsOf(rig, event)[0]
 }
 
 describe('createWaitWatch', () => {
-  it('tells that no target is large enough', async (t) => {
+  it('reports that no target is large enough', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     rig.addTarget('t2')
     const owner = await rig.own()
     const job = makeJob({ ms: 20, cpu: CAPACITY.cpu + 1 })
     rig.submit(owner, job)
-    t.like(await firstLine(rig, 'taskWaits'), {
+    t.like(await firstEvent(rig, 'taskWaits'), {
       job: job.id,
       hold: 'size',
       targets: '{"size":2}',
       couldRunOn: 0,
     })
-    t.deepEqual(linesOf(rig, 'jobStalled'), [])
-    const told = waitReportSchema.parse(owner.explain(job.id))
-    t.like(told, { task: `${job.id}.0.0.0`, holds: { size: 2 }, couldRunOn: 0 })
+    t.deepEqual(eventsOf(rig, 'jobStalled'), [])
+    const report = waitReportSchema.parse(owner.explain(job.id))
+    t.like(report, { task: `${job.id}.0.0.0`, holds: { size: 2 }, couldRunOn: 0 })
     t.is(owner.explain('0123456789abcdef'), undefined)
     await rig.stop()
   })
 
-  it('tells a turn in a queue from a standstill', async (t) => {
+  it('distinguishes a turn in a queue from a stall', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -49,22 +49,22 @@
     await sleep(100)
     const second = makeJob({ ms: 20, cpu: 3000 }, [{ count: 1 }])
     rig.submit(owner, second)
-    t.like(await firstLine(rig, 'taskWaits'), { job: second.id, hold: 'room' })
-    t.deepEqual(linesOf(rig, 'jobStalled'), [])
+    t.like(await firstEvent(rig, 'taskWaits'), { job: second.id, hold: 'room' })
+    t.deepEqual(eventsOf(rig, 'jobStalled'), [])
     await rig.stop()
   })
 
-  it('says nothing of jobs that run something', async (t) => {
+  it('reports nothing for jobs with running tasks', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
     rig.submit(owner, makeJob({ ms: 3000, cpu: 1500 }, [{ count: 4 }]))
-    await sleep(TOLD_WITHIN_MS)
-    t.deepEqual(linesOf(rig, 'taskWaits'), [])
+    await sleep(REPORTED_WITHIN_MS)
+    t.deepEqual(eventsOf(rig, 'taskWaits'), [])
     await rig.stop()
   })
 
-  it('names a target of which all are being emptied as what holds the job', async (t) => {
+  it('reports a stall if all targets are being evacuated', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const owner = await rig.own()
@@ -72,12 +72,12 @@
     owner.evacuate({ evacuate: ['t1'], hurry: [], ended: [] })
     const job = makeJob({ ms: 20, cpu: 100 })
     rig.submit(owner, job)
-    t.like(await firstLine(rig, 'taskWaits'), { hold: 'evacuating', couldRunOn: 1 })
-    t.truthy(await firstLine(rig, 'jobStalled'))
+    t.like(await firstEvent(rig, 'taskWaits'), { hold: 'evacuating', couldRunOn: 1 })
+    t.truthy(await firstEvent(rig, 'jobStalled'))
     await rig.stop()
   })
 
-  it('says until when an inherited job waits for a target that is silent', async (t) => {
+  it('reports how long an inherited job waits for a silent target', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
     const silent = rig.addTarget('t2')
@@ -88,9 +88,9 @@
     const job = makeJob({ ms: 20, cpu: 100 })
     rig.submit(first, job)
     await rig.own()
-    const line = await firstLine(rig, 'taskWaits')
-    t.like(line, { job: job.id, hold: 'takeover', targets: '{"takeover":1}' })
-    t.true(Number(line?.['endsInMs']) > 0)
+    const event = await firstEvent(rig, 'taskWaits')
+    t.like(event, { job: job.id, hold: 'takeover', targets: '{"takeover":1}' })
+    t.true(Number(event?.['endsInMs']) > 0)
     await rig.stop()
   })
 })
--- a/src/scheduler/badRuns.ts
+++ b/src/scheduler/badRuns.ts
@@ -1,7 +1,6 @@
 /**
- * Finds runs that stand still or crawl, and says whose fault it is: the target's, where other
- * runs are slow there too or the same step gets on elsewhere; the job's, where its tasks
- * are long by nature.
+ * Finds stalled and slow runs and determines the cause: the target if other runs are slow there too
+ * or the same step is faster elsewhere, the job if its tasks simply take long.
  */
 import type { Step, Task } from '../jobs/index.js'
 import { monotonicMs } from '../shared/index.js'
@@ -10,91 +9,92 @@
 import type { TargetAgent } from './types.js'
 import type { Placement } from './targetRuns.js'
 
-/** A task whose percent stands still for so long hangs, in ms: two long polls. */
+/** A run whose percentage has not changed for this long is stalled, in ms: two long polls. */
 const STALL_MS = 2300
-/** One that takes longer for a percent hangs after so many times as long. */
-const STALL_POINTS = 3
+/** A run that needs longer for one percent is stalled after this multiple of that time. */
+const STALL_FACTOR = 3
 /**
- * A run that hangs with nowhere else to go begins anew where it is after so long, in ms: hanging
- * may be the run's alone. By then a VM that was asked for would have come (3 s).
+ * A stalled run may restart on its own target after this time, in ms, if no other has room, since
+ * the stall may concern this run alone. A requested VM would have arrived by then (3 s).
  */
-const ANEW_AFTER_MS = 10_000
-/** Moves of one task after which the time above is not doubled any more. */
+const RESTART_IN_PLACE_AFTER_MS = 10_000
+/** Maximum number of doublings of a task's stall limit: one for each time the task was moved. */
 const MAX_DOUBLINGS = 3
-/** A task is slow when it has got on by less than this part of what is usual. */
+/** A run is slow below this share of the usual pace. */
 const SLOW_PACE = 0.3
-/** A task that has got so far, in percent, is left to end. */
-const NEARLY_DONE = 95
-/** A target on which others get on by this part of what is usual is not slow. */
-const USUAL_PACE = 0.5
-/** A step is faster elsewhere when it gets on so many times as fast there. */
-const FASTER = 2
-/** Nothing is said of a task's speed before it has run so long, in ms. */
-const SPEED_AFTER_MS = 1200
-/** Slow tasks at the same time that bring a target under suspicion. */
-const SUSPECT_SLOW = 2
+/** A slow run is not moved from this progress on, in percent. */
+const NEARLY_DONE_PERCENT = 95
+/** A target is not slow if other runs there reach this share of the usual pace. */
+const NORMAL_PACE = 0.5
+/** A step is faster on another target if its pace there is at least this multiple. */
+const FASTER_FACTOR = 2
+/** Minimum run time before the pace of a run is measured, in ms. */
+const MIN_MEASURED_RUN_MS = 1200
+/** Number of slow runs at the same time that makes a target suspect. */
+const MIN_SLOW_RUNS = 2
 /**
- * A task is moved so often for being slow, by whose fault that is: each move throws away what
- * it has done, and one whose fault is not known tells by being slow again.
+ * Maximum number of times a slow task is moved, by cause. Each move discards the task's progress.
+ * If the cause is unclear, one move reveals it: the task is slow again or not.
  */
-const MAX_SLOW_MOVES: Record<Verdict, number> = { target: 2, unclear: 1, job: 0 }
-/** Targets on which a step was slow that are kept: some tell as much as all. */
-const MAX_BAD_ON = 8
-/** Time for which the speed of a run that is done speaks for its target, in ms. */
+const MAX_SLOW_MOVES: Record<Cause, number> = { target: 2, unclear: 1, job: 0 }
+/** Maximum number of targets recorded for a step that was slow there; a few are sufficient. */
+const MAX_SLOW_TARGETS = 8
+/** Time for which the pace of a finished run counts for its target, in ms. */
 const RECENT_MS = 8000
-/** Runs done that are kept for each target. */
+/** Maximum number of finished runs that are kept for each target. */
 const RECENT_RUNS = 10
 
-/** A run that would be done sooner elsewhere. */
-export interface BadRun {
+/** A stalled or slow run that would be finished sooner if it were restarted. */
+export interface UnhealthyRun {
   agent: TargetAgent
   placement: Placement
   task: Task
-  /** Whether it is stopped also where no other target has room, to begin anew there. */
-  anywhere: boolean
+  /** Whether the run is stopped even if no other target has room, and restarts on its target. */
+  mayRestartInPlace: boolean
 }
 
-/** The runs of one service that are looked at. */
-export interface BadRuns {
-  /** Notes a run that was done; returns whether it was slow. */
+/** The check for stalled and slow runs of one service. */
+export interface RunMonitor {
+  /** Records a run that succeeded; returns whether it was slow. */
   noteDone(agent: TargetAgent, task: Task): boolean
-  /** Looks at what runs; brings targets under suspicion and returns runs to move. */
-  sweep(agents: TargetAgent[]): BadRun[]
-  /** A run was stopped to be done elsewhere. */
-  noteMoved(run: BadRun): void
+  /** Checks all present runs, marks targets as suspect and returns the runs to move. */
+  sweep(agents: TargetAgent[]): UnhealthyRun[]
+  /** Records that a run was stopped to be restarted. */
+  noteMoved(run: UnhealthyRun): void
+  /** Discards the records of a target that is gone. */
   forget(agent: TargetAgent): void
 }
 
-/** A run that has gone on for long enough to say something. */
+/** The pace of a run that has lasted long enough to be measured. */
 interface Pace {
   step: Step
   agent: TargetAgent
-  /** How fast it gets on; 1 is usual for its queue. */
+  /** Progress per time as a multiple of the usual value for the queue. */
   pace: number
-  /** Steady times of its start and of what is known of it, in ms. */
+  /** Steady times of the start of the run and of its last report or end, in ms. */
   startedAt: number
   at: number
 }
 
-/** A run of a step, by its start. */
-type Since = Pick<Task, 'step' | 'startedAt'>
+/** The step and the start time of a run. */
+type RunStart = Pick<Task, 'step' | 'startedAt'>
 
-/** How fast runs get on, grouped once a look: each run is compared with few. */
+/** Paces of runs, grouped once per sweep, so that each run is compared only with related ones. */
 interface Paces {
   byAgent: Map<TargetAgent, Pace[]>
   byStep: Map<Step, Pace[]>
 }
 
-/** Whose fault it is that a run is slow. */
-type Verdict = 'target' | 'job' | 'unclear'
+/** Why a run is slow. */
+type Cause = 'target' | 'job' | 'unclear'
 
-interface SlowRun extends BadRun {
-  verdict: Verdict
+interface SlowRun extends UnhealthyRun {
+  cause: Cause
 }
 
-interface StalledRun extends BadRun {
-  /** Whether the step stands still on a second target where others get on. */
-  ownFault: boolean
+interface StalledRun extends UnhealthyRun {
+  /** Whether the step has also been stalled or slow on a second target where others are normal. */
+  isStepFaulty: boolean
 }
 
 interface Progress {
@@ -102,23 +102,23 @@
   since: number
 }
 
-/** Creates a look at runs, without any history. */
-export function createBadRuns(runTimes: RunTimes, suspicion: Suspicion): BadRuns {
+/** Creates the check for stalled and slow runs, without any records. */
+export function createRunMonitor(runTimes: RunTimes, suspicion: Suspicion): RunMonitor {
   const progress = new WeakMap<Placement, Progress>()
   const moves = new WeakMap<Task, number>()
-  /** Targets on which a step was slow or stood still. */
-  const badOn = new WeakMap<Step, Set<TargetAgent>>()
-  /** Steps whose tasks are slow by nature. */
-  const longSteps = new WeakSet<Step>()
+  /** Targets on which a step was slow or stalled. */
+  const slowTargets = new WeakMap<Step, Set<TargetAgent>>()
+  /** Steps whose tasks take long on any target. */
+  const longRunningSteps = new WeakSet<Step>()
   const done = new Map<TargetAgent, Pace[]>()
-  /** Runs that stood still and have been held against their target, once each. */
-  const accusers = new WeakSet<Placement>()
+  /** Stalled runs that have been counted as evidence against their target, once each. */
+  const countedStalls = new WeakSet<Placement>()
 
   const movesOf = (task: Task): number => moves.get(task) ?? 0
 
   /**
-   * Time for which a run has stood still, in ms; 0 below the limit. Counted between reports:
-   * without news nothing is said.
+   * Returns the time for which a run has been stalled, in ms; 0 below the limit. Measured between
+   * reports, so that missing reports do not count as a stall.
    */
   function stalledMs(placement: Placement, task: Task): number {
     const { percent, reportedAt } = placement
@@ -127,19 +127,19 @@
       progress.set(placement, { percent, since: reportedAt })
       return 0
     }
-    const pointMs = percent > 0 ? (before.since - task.startedAt) / percent : 0
+    const percentMs = percent > 0 ? (before.since - task.startedAt) / percent : 0
     const doubled = 2 ** Math.min(MAX_DOUBLINGS, movesOf(task))
-    const limitMs = Math.max(STALL_MS, STALL_POINTS * pointMs) * doubled
+    const limitMs = Math.max(STALL_MS, STALL_FACTOR * percentMs) * doubled
     const ms = reportedAt - before.since
     return ms > limitMs ? ms : 0
   }
 
-  /** How fast a run gets on; undefined before that can be said. */
+  /** Returns the pace of a run; undefined before it can be measured. */
   function paceOf(agent: TargetAgent, placement: Placement): Pace | undefined {
     const { task, state, reportedAt, percent } = placement
-    if (!task || state !== 'running' || !isJudged(task.step)) return undefined
+    if (!task || state !== 'running' || !hasMeasurableSpeed(task.step)) return undefined
     const ranMs = reportedAt - task.startedAt
-    if (ranMs < SPEED_AFTER_MS || !runTimes.knows(task.step)) return undefined
+    if (ranMs < MIN_MEASURED_RUN_MS || !runTimes.knows(task.step)) return undefined
     const pace = (percent * runTimes.meanOf(task.step)) / (100 * ranMs)
     return { step: task.step, agent, pace, startedAt: task.startedAt, at: reportedAt }
   }
@@ -151,60 +151,65 @@
     (done.get(agent) ?? []).filter(({ at }) => monotonicMs() - at < RECENT_MS)
 
   /**
-   * How other jobs, that are not long by nature, have got on there since a run began: what was
-   * done before says nothing of a target that has turned slow.
+   * Returns the paces of other jobs on the target since a run began, without long-running steps.
+   * Earlier ones do not count, as a target may have become slow since.
    */
-  const othersOn = (agent: TargetAgent, run: Since, all: Paces): Pace[] =>
+  const otherJobsOn = (agent: TargetAgent, run: RunStart, all: Paces): Pace[] =>
     (all.byAgent.get(agent) ?? []).filter(
       ({ step, at }) =>
-        at >= run.startedAt && step.job !== run.step.job && !longSteps.has(step),
+        at >= run.startedAt && step.job !== run.step.job && !longRunningSteps.has(step),
     )
 
-  const isUsualFor = (others: Pace[]): boolean =>
-    others.length > 0 && medianOf(others) >= USUAL_PACE
+  const isNormalPace = (others: Pace[]): boolean =>
+    others.length > 0 && medianOf(others) >= NORMAL_PACE
 
-  /** Whether the step is as bad on another target, where other jobs get on as usual. */
-  const isBadWhereOthersAreNot = (run: Since, agent: TargetAgent, all: Paces): boolean =>
-    [...(badOn.get(run.step) ?? [])].some(
-      (other) => other !== agent && isUsualFor(othersOn(other, run, all)),
+  /** Whether the step has been slow or stalled on another target where other jobs are normal. */
+  const isSlowAmongNormalRuns = (
+    run: RunStart,
+    agent: TargetAgent,
+    all: Paces,
+  ): boolean =>
+    [...(slowTargets.get(run.step) ?? [])].some(
+      (other) => other !== agent && isNormalPace(otherJobsOn(other, run, all)),
     )
 
-  /** Whose fault it is that a step is slow on a target. */
-  function judge(run: Pace, all: Paces): Verdict {
+  /** Determines why a run is slow on its target. */
+  function findCause(run: Pace, all: Paces): Cause {
     const { step, pace, agent } = run
-    if (longSteps.has(step)) return 'job'
+    if (longRunningSteps.has(step)) return 'job'
     const ofStep = all.byStep.get(step) ?? []
     const elsewhere = ofStep.filter((each) => each.agent !== agent)
-    if (elsewhere.some((each) => each.pace >= pace * FASTER)) return 'target'
-    const others = othersOn(agent, run, all)
-    if (others.length > 0) return isUsualFor(others) ? 'job' : 'target'
-    return isBadWhereOthersAreNot(run, agent, all) ? 'job' : 'unclear'
+    if (elsewhere.some((each) => each.pace >= pace * FASTER_FACTOR)) return 'target'
+    const others = otherJobsOn(agent, run, all)
+    if (others.length > 0) return isNormalPace(others) ? 'job' : 'target'
+    return isSlowAmongNormalRuns(run, agent, all) ? 'job' : 'unclear'
   }
 
-  function noteBad(step: Step, agent: TargetAgent): void {
-    const known = badOn.get(step) ?? new Set()
-    if (known.size < MAX_BAD_ON) badOn.set(step, known.add(agent))
+  function recordSlowTarget(step: Step, agent: TargetAgent): void {
+    const known = slowTargets.get(step) ?? new Set()
+    if (known.size < MAX_SLOW_TARGETS) slowTargets.set(step, known.add(agent))
   }
 
-  /** Whether the rest takes longer than the whole would elsewhere, and its way there. */
-  function isSlowerThanAnew({ step, pace }: Pace, percent: number): boolean {
+  /** Whether the rest of a run takes longer than a restart elsewhere, including the move. */
+  function isSlowerThanRestart({ step, pace }: Pace, percent: number): boolean {
     const leftMs =
       ((100 - percent) / 100) * (runTimes.meanOf(step) / Math.max(pace, 1e-3))
     return leftMs > 2 * runTimes.meanOf(step)
   }
 
-  /** Runs on one target that are slow through no fault of their own. */
+  /** Returns the slow runs on one target, except those whose job is the cause. */
   function slowRuns(agent: TargetAgent, all: Paces): SlowRun[] {
     const found: SlowRun[] = []
     for (const placement of agent.placements.values()) {
       const { task, percent } = placement
       const own = paceOf(agent, placement)
-      if (!task || !own || own.pace >= SLOW_PACE || percent >= NEARLY_DONE) continue
-      if (!isSlowerThanAnew(own, percent)) continue
-      const verdict = judge(own, all)
-      noteBad(task.step, agent)
-      if (verdict === 'job') longSteps.add(task.step)
-      else found.push({ agent, placement, task, verdict, anywhere: false })
+      if (!task || !own || own.pace >= SLOW_PACE || percent >= NEARLY_DONE_PERCENT)
+        continue
+      if (!isSlowerThanRestart(own, percent)) continue
+      const cause = findCause(own, all)
+      recordSlowTarget(task.step, agent)
+      if (cause === 'job') longRunningSteps.add(task.step)
+      else found.push({ agent, placement, task, cause, mayRestartInPlace: false })
     }
     return found
   }
@@ -214,34 +219,34 @@
     for (const placement of agent.placements.values()) {
       const { task, state, reportedAt } = placement
       if (!task || state !== 'running' || reportedAt === 0) continue
-      const ms = isJudged(task.step) ? stalledMs(placement, task) : 0
+      const ms = hasMeasurableSpeed(task.step) ? stalledMs(placement, task) : 0
       if (ms === 0) continue
-      const othersGetOn = isUsualFor(othersOn(agent, task, all))
-      const ownFault = othersGetOn && isBadWhereOthersAreNot(task, agent, all)
-      const anywhere = othersGetOn || ms > ANEW_AFTER_MS
-      found.push({ agent, placement, task, anywhere, ownFault })
-      noteBad(task.step, agent)
+      const areOthersNormal = isNormalPace(otherJobsOn(agent, task, all))
+      const isStepFaulty = areOthersNormal && isSlowAmongNormalRuns(task, agent, all)
+      const mayRestartInPlace = areOthersNormal || ms > RESTART_IN_PLACE_AFTER_MS
+      found.push({ agent, placement, task, mayRestartInPlace, isStepFaulty })
+      recordSlowTarget(task.step, agent)
     }
     return found
   }
 
-  function sweepOne(agent: TargetAgent, all: Paces): BadRun[] {
+  function sweepTarget(agent: TargetAgent, all: Paces): UnhealthyRun[] {
     const stalled = stalledRuns(agent, all)
     const slow = slowRuns(agent, all).filter(
       (run) => !stalled.some(({ placement }) => placement === run.placement),
     )
-    const stepsOf = (runs: BadRun[]): Step[] => runs.map(({ task }) => task.step)
+    const stepsOf = (runs: UnhealthyRun[]): Step[] => runs.map(({ task }) => task.step)
     const newlyStalled = stalled.filter(
-      ({ placement, ownFault }) => !ownFault && !accusers.has(placement),
+      ({ placement, isStepFaulty }) => !isStepFaulty && !countedStalls.has(placement),
     )
-    for (const { placement } of newlyStalled) accusers.add(placement)
+    for (const { placement } of newlyStalled) countedStalls.add(placement)
     if (newlyStalled.length > 0)
       suspicion.exclude(agent, 'tasks stand still', stepsOf(newlyStalled))
-    else if (slow.length >= SUSPECT_SLOW)
+    else if (slow.length >= MIN_SLOW_RUNS)
       suspicion.exclude(agent, 'tasks are slow', stepsOf(slow))
     if (suspicion.standingOf(agent) !== 'suspect') return stalled
     const movable = slow.filter(
-      ({ task, verdict }) => movesOf(task) < MAX_SLOW_MOVES[verdict],
+      ({ task, cause }) => movesOf(task) < MAX_SLOW_MOVES[cause],
     )
     return [...stalled, ...movable]
   }
@@ -249,7 +254,7 @@
   return {
     noteDone(agent, task) {
       const { step } = task
-      if (!isJudged(step) || !runTimes.knows(step)) return false
+      if (!hasMeasurableSpeed(step) || !runTimes.knows(step)) return false
       const at = monotonicMs()
       const pace = runTimes.meanOf(step) / Math.max(1, at - task.startedAt)
       const { startedAt } = task
@@ -262,8 +267,8 @@
       const all = groupPaces(
         answering.flatMap((agent) => [...pacesOn(agent), ...recentlyDone(agent)]),
       )
-      const found = answering.flatMap((agent) => sweepOne(agent, all))
-      suspicion.pardon((step) => longSteps.has(step))
+      const found = answering.flatMap((agent) => sweepTarget(agent, all))
+      suspicion.retractEvidence((step) => longRunningSteps.has(step))
       return found
     },
     noteMoved: ({ task }) => void moves.set(task, movesOf(task) + 1),
@@ -271,8 +276,12 @@
   }
 }
 
-/** Whether a run of the step can be judged by how far it gets: it ends by itself, alone. */
-const isJudged = ({ spec }: Step): boolean => !spec.lasting && !spec.gang && !spec.fills
+/**
+ * Whether the progress of the step's runs can be measured: its tasks end by themselves, do not wait
+ * for other members of a gang and do not depend on spare processor time.
+ */
+const hasMeasurableSpeed = ({ spec }: Step): boolean =>
+  !spec.lasting && !spec.gang && !spec.fills
 
 function groupPaces(paces: Pace[]): Paces {
   const byAgent = new Map<TargetAgent, Pace[]>()
--- a/src/scheduler/moveBadRuns.ts
+++ b/src/scheduler/moveBadRuns.ts
@@ -1,13 +1,13 @@
-/** Stops runs that stand still or crawl, where they get on sooner when they begin anew. */
+/** Stops stalled and slow runs that are finished sooner if they are restarted. */
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import type { Health } from './health.js'
-import { createRoomElsewhere } from './planner.js'
+import { createRelocationRoom } from './planner.js'
 import type { Starter } from './starter.js'
 import type { TargetAgent } from './types.js'
 
-/** What the look at bad runs works with. */
-export interface MoveBadRunsOptions {
+/** Input of one pass over the unhealthy runs. */
+export interface MoveUnhealthyRunsOptions {
   /** All targets of the service. */
   agents: TargetAgent[]
   health: Health
@@ -16,18 +16,24 @@
 }
 
 /**
- * Stops a bad run only where a sound target has room for it now. Stopped without that, three
- * runs of a job ended within 11 ms and the job ran nothing for seconds.
+ * Stops the unhealthy runs that the run monitor finds. A run is stopped only if a sound target has
+ * room for it now or it may restart in place. Otherwise all runs of a job may be stopped, three of
+ * them within 11 ms, and the job runs nothing for seconds.
  */
-export function moveBadRuns({ agents, health, starter, log }: MoveBadRunsOptions): void {
-  const bad = health.sweep(agents)
-  if (bad.length === 0) return
+export function moveBadRuns({
+  agents,
+  health,
+  starter,
+  log,
+}: MoveUnhealthyRunsOptions): void {
+  const unhealthy = health.sweep(agents)
+  if (unhealthy.length === 0) return
   const sound = agents.filter((agent) => health.standingOf(agent) === 'sound')
-  const room = createRoomElsewhere(sound, starter.policyNow(agents))
-  for (const run of bad) {
-    const { agent, placement, task, anywhere } = run
+  const room = createRelocationRoom(sound, starter.policyNow(agents))
+  for (const run of unhealthy) {
+    const { agent, placement, task, mayRestartInPlace } = run
     if (placement.state !== 'running') continue
-    if (!room.claim(task.step, agent) && !anywhere) continue
+    if (!room.reserve(task.step, agent) && !mayRestartInPlace) continue
     log.event('runMoved', {
       task: placement.name,
       target: agent.target.id,
--- a/src/scheduler/suspicion.ts
+++ b/src/scheduler/suspicion.ts
@@ -1,63 +1,69 @@
 /**
- * Suspicion against targets that answer well and work badly. Evidence keeps tasks off a
- * target for a while; then it gets one task at a time, until one ends well. A failure that
- * comes from the caller's job is no evidence.
+ * Finds suspect targets: those that answer calls but fail or slow down their tasks. Evidence
+ * excludes a target from new tasks for a while. After that the target is on trial and gets one task
+ * at a time until one succeeds. Failures caused by the caller's job do not count as evidence.
  */
 import type { Step, Task } from '../jobs/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import type { TargetAgent } from './types.js'
 
-/** Ends of a target that are looked at, and how long they count, in ms. */
-const RECENT_ENDS = 10
+/** Number of ended runs that are kept for a target, and the time for which they count, in ms. */
+const MAX_RECENT_ENDS = 10
 const RECENT_MS = 8000
-/** Failed runs, of so many jobs, that bring a target under suspicion. */
+/** Minimum number of failed runs, and of jobs they belong to, that makes a target suspect. */
 const SUSPECT_FAILURES = 2
 const SUSPECT_JOBS = 2
-/** Share of its ends that must have failed; above it, jobs alone do not explain it. */
+/** Share of failed runs from which the jobs alone do not explain the failures of a target. */
 const SUSPECT_SHARE = 0.5
 /**
- * Failures of a step, none of its runs done, that speak for the job even where it has been
- * tried on one target alone: a pool may have no other.
+ * Failures of a step without a successful run from which the step counts as faulty even if all of
+ * them were on one target: a pool may have no other.
  */
-const OWN_FAULT_FAILURES = 3
-/** Time without new tasks, in ms; doubled each time the trial fails. */
-const EXCLUDE_MS = 5000
-const MAX_EXCLUDE_MS = 20_000
+const FAULTY_STEP_FAILURES = 3
+/** First and longest exclusion from new tasks, in ms. Doubled each time; reset by a success. */
+const INITIAL_EXCLUSION_MS = 5000
+const MAX_EXCLUSION_MS = 20_000
 
 /**
- * `sound`: nothing speaks against it. `trial`: it gets one task at a time. `suspect`: it gets
- * nothing but a task of a job that has nowhere else to go.
+ * `sound`: no evidence against the target. `trial`: it gets one task at a time. `suspect`: it only
+ * gets tasks of jobs that cannot run elsewhere.
  */
-export type Standing = 'sound' | 'trial' | 'suspect'
+export type TargetStanding = 'sound' | 'trial' | 'suspect'
 
-/** What a target did to come under suspicion. */
-export type Offence =
+/** Why a target is suspect. */
+export type SuspicionReason =
   'tasks of several jobs fail' | 'trial failed' | 'tasks stand still' | 'tasks are slow'
 
 /** The evidence against the targets of one service. */
 export interface Suspicion {
   /**
-   * Notes that a run was done or failed.
-   * @param wasSlow whether it took so much longer than usual that it speaks for nothing
+   * Records the end of a run.
+   * @param failed whether the run failed; otherwise it succeeded
+   * @param wasSlow whether it took so much longer than usual that its success clears no suspicion
    */
   noteEnd(agent: TargetAgent, task: Task, failed: boolean, wasSlow: boolean): void
-  /** Keeps tasks off the target; `steps` are those that speak against it. */
-  exclude(agent: TargetAgent, offence: Offence, steps: Step[]): void
-  /** The step is the cause itself: what rests on it alone is taken back. */
-  pardon(isCause: (step: Step) => boolean): void
-  standingOf(agent: TargetAgent): Standing
-  /** Steady time up to which it is kept off, in ms; in the past where it is not. */
+  /** Excludes the target from new tasks; `steps` are the evidence against it. */
+  exclude(agent: TargetAgent, reason: SuspicionReason, steps: Step[]): void
+  /**
+   * Removes steps that are themselves the cause from the evidence. Clears a target without any
+   * evidence left.
+   */
+  retractEvidence(isCause: (step: Step) => boolean): void
+  standingOf(agent: TargetAgent): TargetStanding
+  /** Steady time until which the target is excluded, in ms; in the past if it is not. */
   excludedUntil(agent: TargetAgent): number
-  /** Whether the step fails by itself, so that no target is to blame. */
-  failsByItself(step: Step): boolean
-  /** Whether a run of the task has failed there. */
+  /** Whether the step itself is the cause of its failures, and not a target. */
+  isFaulty(step: Step): boolean
+  /** Whether a run of the task has failed on the target. */
   hasFailedOn(agent: TargetAgent, task: Task): boolean
+  /** Discards the records of a target that is gone. */
   forget(agent: TargetAgent): void
 }
 
+/** An ended run. */
 interface End {
-  /** Rises with each end. */
+  /** Sequence number over all targets. */
   number: number
   at: number
   step: Step
@@ -66,32 +72,32 @@
 
 interface TargetRecord {
   ends: End[]
-  /** Steps that spoke against it when it was excluded. */
-  basis: Step[]
+  /** Steps whose runs led to the exclusion. */
+  evidence: Step[]
   excludedAt: number
   excludedUntil: number
-  excludeMs: number
-  /** After an exclusion it gets one task at a time until one ends well. */
+  exclusionMs: number
+  /** Set by an exclusion and cleared once a run succeeds or no evidence is left. */
   onTrial: boolean
 }
 
-/** How the runs of a step have ended. */
+/** Results of the runs of a step. */
 interface StepRecord {
   anyDone: boolean
   failures: number
-  /** Number of the end with which it first failed on a target. */
-  failedOn: Map<TargetAgent, number>
-  /** Whether it has once been seen to fail by itself. */
-  ownFault: boolean
+  /** Number of the first failed run on each target. */
+  firstFailures: Map<TargetAgent, number>
+  /** Whether the step has been found to be the cause of its failures. */
+  isFaulty: boolean
 }
 
-/** Creates a book without evidence. */
+/** Creates the records of one service, without any evidence. */
 export function createSuspicion(log: Logger): Suspicion {
   const records = new Map<TargetAgent, TargetRecord>()
-  /** Those excluded or on trial: few, and looked at with each end. */
+  /** Targets that are excluded or on trial: few, so that each ended run can examine all of them. */
   const suspects = new Map<TargetAgent, TargetRecord>()
   const steps = new WeakMap<Step, StepRecord>()
-  let lastEnd = 0
+  let lastEndNumber = 0
   const failures = new WeakMap<Task, Set<TargetAgent>>()
 
   function recordOf(agent: TargetAgent): TargetRecord {
@@ -99,10 +105,10 @@
     if (known) return known
     const record: TargetRecord = {
       ends: [],
-      basis: [],
+      evidence: [],
       excludedAt: -Infinity,
       excludedUntil: -Infinity,
-      excludeMs: EXCLUDE_MS,
+      exclusionMs: INITIAL_EXCLUSION_MS,
       onTrial: false,
     }
     records.set(agent, record)
@@ -115,82 +121,93 @@
     const record: StepRecord = {
       anyDone: false,
       failures: 0,
-      failedOn: new Map(),
-      ownFault: false,
+      firstFailures: new Map(),
+      isFaulty: false,
     }
     steps.set(step, record)
     return record
   }
 
   /**
-   * Whether steps that can be done are done there, as far as is known. What was done before
-   * the failure in question says nothing of a target that has turned bad since.
+   * Whether at least half of the target's runs since failure number `after` succeeded, among steps
+   * that have succeeded anywhere. Earlier runs do not count, as the target may have become faulty
+   * since.
    */
-  function isProven(agent: TargetAgent, after: number): boolean {
+  function completesOtherWork(agent: TargetAgent, after: number): boolean {
     const ends = records.get(agent)?.ends ?? []
-    const telling = ends.filter(
+    const relevant = ends.filter(
       ({ number, step }) => number > after && stepRecordOf(step).anyDone,
     )
-    const done = telling.filter(({ failed }) => !failed).length
-    return done > 0 && done * 2 >= telling.length
+    const done = relevant.filter(({ failed }) => !failed).length
+    return done > 0 && done * 2 >= relevant.length
   }
 
-  /** Whether a step fails by itself: it was never done, and failed where others are done. */
-  function isOwnFault(step: Step, agent: TargetAgent): boolean {
+  /** Whether a step is faulty: it has never succeeded, and failed where other steps succeed. */
+  function checkFaulty(step: Step, agent: TargetAgent): boolean {
     const record = stepRecordOf(step)
     if (record.anyDone) return false
-    const { failures: count, failedOn } = record
-    record.ownFault ||= [...failedOn].some(
+    const { failures: count, firstFailures } = record
+    record.isFaulty ||= [...firstFailures].some(
       ([other, since]) =>
-        (other !== agent || count >= OWN_FAULT_FAILURES) && isProven(other, since),
+        (other !== agent || count >= FAULTY_STEP_FAILURES) &&
+        completesOtherWork(other, since),
     )
-    return record.ownFault
+    return record.isFaulty
   }
 
-  function exclude(agent: TargetAgent, offence: Offence, basis: Step[]): void {
+  function exclude(
+    agent: TargetAgent,
+    suspicionReason: SuspicionReason,
+    evidence: Step[],
+  ): void {
     const record = recordOf(agent)
     const now = monotonicMs()
     if (record.excludedUntil > now) return
-    record.basis = basis
+    record.evidence = evidence
     record.excludedAt = now
-    record.excludedUntil = now + record.excludeMs
-    record.excludeMs = Math.min(MAX_EXCLUDE_MS, record.excludeMs * 2)
+    record.excludedUntil = now + record.exclusionMs
+    record.exclusionMs = Math.min(MAX_EXCLUSION_MS, record.exclusionMs * 2)
     record.onTrial = true
     suspects.set(agent, record)
     log.event('targetSuspect', {
       target: agent.target.id,
-      reason: offence,
+      reason: suspicionReason,
       forMs: Math.round(record.excludedUntil - now),
-      jobs: [...new Set(basis.map(({ job }) => job.spec.id))].join(' '),
+      jobs: [...new Set(evidence.map(({ job }) => job.spec.id))].join(' '),
     })
   }
 
-  function trust(agent: TargetAgent, record: TargetRecord, reason: string): void {
+  function clearSuspicion(
+    agent: TargetAgent,
+    record: TargetRecord,
+    reason: string,
+  ): void {
     record.onTrial = false
     suspects.delete(agent)
     record.excludedUntil = -Infinity
     log.event('targetTrusted', { target: agent.target.id, reason })
   }
 
-  /** A run that began under suspicion and ended well says that the target is well again. */
+  /** Clears the target if the run began after its exclusion. */
   function noteDone(agent: TargetAgent, { startedAt }: Task): void {
     const record = recordOf(agent)
     if (!record.onTrial || startedAt < record.excludedAt) return
-    record.excludeMs = EXCLUDE_MS
-    trust(agent, record, 'a task was done there')
+    record.exclusionMs = INITIAL_EXCLUSION_MS
+    clearSuspicion(agent, record, 'a task was done there')
   }
 
   function noteFailure(agent: TargetAgent, step: Step): void {
     const record = recordOf(agent)
-    if (isOwnFault(step, agent)) return
+    if (checkFaulty(step, agent)) return
     if (record.onTrial && record.excludedUntil <= monotonicMs())
       return exclude(agent, 'trial failed', [step])
     const ends = record.ends.filter(({ at }) => at > record.excludedAt)
-    const failed = ends.filter((end) => end.failed && !isOwnFault(end.step, agent))
+    const failed = ends.filter((end) => end.failed && !checkFaulty(end.step, agent))
     const jobs = new Set(failed.map((end) => end.step.job))
-    const enough = failed.length >= SUSPECT_FAILURES && jobs.size >= SUSPECT_JOBS
-    const mostly = failed.length >= ends.length * SUSPECT_SHARE
-    if (!enough || !mostly) return
+    const hasEnoughFailures =
+      failed.length >= SUSPECT_FAILURES && jobs.size >= SUSPECT_JOBS
+    const failsMostly = failed.length >= ends.length * SUSPECT_SHARE
+    if (!hasEnoughFailures || !failsMostly) return
     exclude(
       agent,
       'tasks of several jobs fail',
@@ -198,11 +215,12 @@
     )
   }
 
-  function pardon(isCause: (step: Step, agent: TargetAgent) => boolean): void {
+  function retractEvidence(isCause: (step: Step, agent: TargetAgent) => boolean): void {
     for (const [agent, record] of suspects) {
-      if (record.basis.length === 0) continue
-      record.basis = record.basis.filter((step) => !isCause(step, agent))
-      if (record.basis.length === 0) trust(agent, record, 'its tasks were the cause')
+      if (record.evidence.length === 0) continue
+      record.evidence = record.evidence.filter((step) => !isCause(step, agent))
+      if (record.evidence.length === 0)
+        clearSuspicion(agent, record, 'its tasks were the cause')
     }
   }
 
@@ -211,33 +229,34 @@
       const { step } = task
       const record = recordOf(agent)
       const now = monotonicMs()
-      lastEnd++
-      record.ends = [...record.ends, { number: lastEnd, at: now, step, failed }]
+      lastEndNumber++
+      record.ends = [...record.ends, { number: lastEndNumber, at: now, step, failed }]
         .filter(({ at }) => now - at < RECENT_MS)
-        .slice(-RECENT_ENDS)
+        .slice(-MAX_RECENT_ENDS)
       if (!failed) {
         stepRecordOf(step).anyDone = true
         if (!wasSlow) noteDone(agent, task)
-        return pardon(isOwnFault)
+        return retractEvidence(checkFaulty)
       }
       const stepRecord = stepRecordOf(step)
       stepRecord.failures++
-      if (!stepRecord.failedOn.has(agent)) stepRecord.failedOn.set(agent, lastEnd)
+      if (!stepRecord.firstFailures.has(agent))
+        stepRecord.firstFailures.set(agent, lastEndNumber)
       failures.set(task, (failures.get(task) ?? new Set()).add(agent))
       noteFailure(agent, step)
-      pardon(isOwnFault)
+      retractEvidence(checkFaulty)
     },
     exclude,
-    pardon,
+    retractEvidence,
     standingOf(agent) {
       const record = records.get(agent)
       if (!record?.onTrial) return 'sound'
       return record.excludedUntil > monotonicMs() ? 'suspect' : 'trial'
     },
     excludedUntil: (agent) => records.get(agent)?.excludedUntil ?? -Infinity,
-    failsByItself(step) {
+    isFaulty(step) {
       const record = steps.get(step)
-      return record !== undefined && record.ownFault && !record.anyDone
+      return record !== undefined && record.isFaulty && !record.anyDone
     },
     hasFailedOn: (agent, task) => failures.get(task)?.has(agent) ?? false,
     forget(agent) {
