--- a/src/keeper/__tests__/planning.spec.ts
+++ b/src/keeper/__tests__/planning.spec.ts
@@ -5,7 +5,7 @@
 import type { RawTable, Table } from '../../table/index.js'
 import { budgetShortage } from '../budgets.js'
 import { planJobs } from '../placement.js'
-import { planPools, shareOut } from '../pools.js'
+import { planPools, allocateByWeight } from '../pools.js'
 import { planWaves } from '../waves.js'
 
 const HALL = 'h'
@@ -60,7 +60,7 @@
       fc.property(pools, fc.nat(30), (given, available) => {
         const demand = new Map(Object.entries(given).map(([k, v]) => [k, v.demand]))
         const weights = new Map(Object.entries(given).map(([k, v]) => [k, v.weight]))
-        const shares = shareOut(demand, weights, available)
+        const shares = allocateByWeight(demand, weights, available)
         const wanted = [...demand.values()].reduce((a, b) => a + b, 0)
         const total = [...shares.values()].reduce((a, b) => a + b, 0)
         t.is(total, Math.min(wanted, available))
@@ -79,7 +79,7 @@
       ['b', 1],
     ])
     t.deepEqual(
-      [...shareOut(demand, weights, 8)],
+      [...allocateByWeight(demand, weights, 8)],
       [
         ['a', 6],
         ['b', 2],
@@ -173,8 +173,11 @@
   })
 
   it('starts a replacement before it stops an instance on a VM that is emptied', (t) => {
-    const emptied = vm('a', { state: 'evacuating', operation: operation('maintain') })
-    const vms = [emptied, vm('b'), vm('c')]
+    const evacuatingVm = vm('a', {
+      state: 'evacuating',
+      operation: operation('maintain'),
+    })
+    const vms = [evacuatingVm, vm('b'), vm('c')]
     const first = planJobs({ table: table(2), vms, jobs: [job('1', 'a'), job('2', 'b')] })
     t.deepEqual(
       first.map((each) => each.kind),
@@ -216,12 +219,12 @@
       'gone',
     ) as fc.Arbitrary<VmRow['state']>
     const fleet = fc.array(states, { minLength: 1, maxLength: 5 })
-    const placed = fc.array(
+    const placements = fc.array(
       fc.record({ at: fc.nat(4), running: fc.boolean(), sound: fc.boolean() }),
       { maxLength: 8 },
     )
     fc.assert(
-      fc.property(fleet, placed, fc.nat(5), (vmStates, jobSpecs, instances) => {
+      fc.property(fleet, placements, fc.nat(5), (vmStates, jobSpecs, instances) => {
         const vms = vmStates.map((state, i) => vm(`v${i}`, { state, cpus: 8 }))
         const jobs = jobSpecs.map(({ at, running, sound }, i) => {
           const on = `v${at % vms.length}`
@@ -300,11 +303,11 @@
       kind: 'finish',
     })
     t.deepEqual(planWaves(input({ waves: waveRow({ finished: true }) })), [])
-    const comes = vm('c', {
+    const arrivingVm = vm('c', {
       pool: 'reserve',
       operation: { ...operation('move'), toPool: 'p' },
     })
-    const vms = [vm('a'), comes]
+    const vms = [vm('a'), arrivingVm]
     t.like(planWaves(input({ vms }))[0], {
       kind: 'hold',
       reason: 'a VM is on its way to the pool',
@@ -336,7 +339,10 @@
       budgetShortage({ ...base, jobs: one, budgets: new Map() }, ['s'])!,
       /1 of its budget of 1/,
     )
-    const wide = { ...base, table: table(2, { budget: '2' }) }
-    t.is(budgetShortage({ ...wide, jobs: one, budgets: out(HALL) }, ['s']), undefined)
+    const doubledBudget = { ...base, table: table(2, { budget: '2' }) }
+    t.is(
+      budgetShortage({ ...doubledBudget, jobs: one, budgets: out(HALL) }, ['s']),
+      undefined,
+    )
   })
 })
--- a/src/keeper/acks.ts
+++ b/src/keeper/acks.ts
@@ -13,7 +13,7 @@
    * Undefined when every entry has applied the revision and counts no request by
    * `inFlight`; otherwise who is waited for, and why.
    */
-  waitingFor(
+  pendingReason(
     revision: number,
     inFlight: (report: NodeReport) => number,
   ): string | undefined
@@ -31,10 +31,10 @@
 export function createEntryAcks(opts: EntryAcksOptions): EntryAcks {
   const { peers, hall, isGone } = opts
   return {
-    waitingFor(revision, inFlight) {
+    pendingReason(revision, inFlight) {
       const own = peers.ownReport()
       if (own.routes) {
-        const reason = shortfall(own, revision, inFlight)
+        const reason = missingAck(own, revision, inFlight)
         if (reason) return `${own.node} ${reason}`
       }
       for (const peer of peers.peers()) {
@@ -44,7 +44,7 @@
           if (isGone(peer.id)) continue
           return `${peer.id} does not answer`
         }
-        const reason = shortfall(report, revision, inFlight)
+        const reason = missingAck(report, revision, inFlight)
         if (reason) return `${peer.id} ${reason}`
       }
       return undefined
@@ -52,30 +52,30 @@
   }
 }
 
-function shortfall(
+function missingAck(
   report: NodeReport,
   revision: number,
   inFlight: (report: NodeReport) => number,
 ): string | undefined {
   if (Number(report.revision) < revision) return 'has not seen the change yet'
-  const running = inFlight(report)
-  return running > 0 ? `still has ${running} requests there` : undefined
+  const requests = inFlight(report)
+  return requests > 0 ? `still has ${requests} requests there` : undefined
 }
 
 /** Requests of the report's process on a VM that is leaving. */
 export function inFlightOnVm(vm: string, generation: number) {
   return (report: NodeReport): number => {
-    const found = report.leaving.find((each) => each.vm === vm)
+    const leavingVm = report.leaving.find((each) => each.vm === vm)
     // Not named, or named with an older generation: the report is of an older view.
-    if (!found || found.generation < generation) return 1
-    return found.inFlight
+    if (!leavingVm || leavingVm.generation < generation) return 1
+    return leavingVm.inFlight
   }
 }
 
 /** Requests of the report's process at a job that is stopping. */
 export function inFlightAtJob(job: string) {
   return (report: NodeReport): number => {
-    const found = report.stopping.find((each) => each.job === job)
-    return found ? found.inFlight : 1
+    const stoppingJob = report.stopping.find((each) => each.job === job)
+    return stoppingJob ? stoppingJob.inFlight : 1
   }
 }
--- a/src/keeper/budgetWrites.ts
+++ b/src/keeper/budgetWrites.ts
@@ -5,7 +5,7 @@
 import type { FleetState } from './fleetState.js'
 
 /** Takes the instances out of the budgets; every hall's holder writes the same rows. */
-export function takeBudgets(
+export function chargeBudgets(
   state: FleetState,
   vm: VmRow,
   services: string[],
@@ -21,7 +21,7 @@
 }
 
 /** Gives back what the operation has taken, in all services. */
-export function giveBackBudgets(state: FleetState, operation: Operation): RowWrite[] {
+export function releaseBudgets(state: FleetState, operation: Operation): RowWrite[] {
   const writes: RowWrite[] = []
   for (const { key, version, value } of state.budgets.values()) {
     const out = value.out.filter((each) => each.operation !== operation.id)
--- a/src/keeper/budgets.ts
+++ b/src/keeper/budgets.ts
@@ -25,10 +25,10 @@
   for (const service of new Set(services)) {
     const line = input.table.services.get(service)
     if (!line) continue
-    const wanted = services.filter((each) => each === service).length
-    const out = instancesOut(input, service, line)
-    if (out + wanted <= line.budget) continue
-    return `'${service}' has ${out} of its budget of ${line.budget} away`
+    const requested = services.filter((each) => each === service).length
+    const unavailable = unavailableInstances(input, service, line)
+    if (unavailable + requested <= line.budget) continue
+    return `'${service}' has ${unavailable} of its budget of ${line.budget} away`
   }
   return undefined
 }
@@ -37,14 +37,14 @@
  * Instances away now: those that any hall has taken out, and those of this hall that
  * are missing for another reason.
  */
-export function instancesOut(
+export function unavailableInstances(
   input: BudgetInput,
   service: string,
   line: ServiceLine,
 ): number {
   const planned = input.budgets.get(service)?.out ?? []
   const total = planned.reduce((sum, each) => sum + each.count, 0)
-  const here = planned
+  const plannedInHall = planned
     .filter((each) => each.hall === input.hall)
     .reduce((sum, each) => sum + each.count, 0)
   const vms = new Map(input.vms.map((vm) => [vm.id, vm]))
@@ -54,5 +54,5 @@
     return job.service === service && job.state === 'running' && serves
   }).length
   const missing = Math.max(0, line.instances - available)
-  return total + Math.max(0, missing - here)
+  return total + Math.max(0, missing - plannedInHall)
 }
--- a/src/keeper/context.ts
+++ b/src/keeper/context.ts
@@ -20,7 +20,7 @@
   /** Time for a VM to come back from a reboot, in ms. */
   rebootTimeoutMs: number
   /** Time between two looks at something waited for, in ms. */
-  lookMs: number
+  pollIntervalMs: number
   /** The state as of now, or undefined when no table is in force. */
   state(): FleetState | undefined
   /** Services for which the last round found no room. */
--- a/src/keeper/decisionLog.ts
+++ b/src/keeper/decisionLog.ts
@@ -9,7 +9,7 @@
 
 const FLUSH_INTERVAL_MS = 2000
 /** Events kept while the object store is away; older ones are dropped. */
-const MAX_PENDING = 2000
+const MAX_PENDING_EVENTS = 2000
 
 /** Where a hall's batches are. */
 export const DECISIONS_PREFIX = 'events/'
@@ -45,9 +45,16 @@
     event(name, fields) {
       inner.event(name, fields)
       const { id, text } = EVENTS[name]
-      const all = { hall, node, ...extra, ...fields }
-      pending.push({ at: new Date().toISOString(), event: id, name, text, fields: all })
-      if (pending.length > MAX_PENDING) pending.splice(0, pending.length - MAX_PENDING)
+      const allFields = { hall, node, ...extra, ...fields }
+      pending.push({
+        at: new Date().toISOString(),
+        event: id,
+        name,
+        text,
+        fields: allFields,
+      })
+      if (pending.length > MAX_PENDING_EVENTS)
+        pending.splice(0, pending.length - MAX_PENDING_EVENTS)
     },
     child: (fields) => wrap(inner.child(fields), { ...extra, ...fields }),
   })
--- a/src/keeper/fleetState.ts
+++ b/src/keeper/fleetState.ts
@@ -59,16 +59,16 @@
   return {
     hall,
     table,
-    vms: typedRows(rows, vmRowSchema, idUnder(vmPrefix(hall)), log),
-    jobs: typedRows(rows, jobRowSchema, idUnder(jobPrefix(hall)), log),
-    waves: typedRows(rows, waveRowSchema, idUnder(WAVE_PREFIX, `/${hall}`), log),
-    budgets: typedRows(rows, budgetRowSchema, idUnder(BUDGET_PREFIX), log),
+    vms: parseRows(rows, vmRowSchema, idBetween(vmPrefix(hall)), log),
+    jobs: parseRows(rows, jobRowSchema, idBetween(jobPrefix(hall)), log),
+    waves: parseRows(rows, waveRowSchema, idBetween(WAVE_PREFIX, `/${hall}`), log),
+    budgets: parseRows(rows, budgetRowSchema, idBetween(BUDGET_PREFIX), log),
     listed: new Map(workers.map((vm) => [vm.id, vm])),
     tasks: new Map(tasks.map((task) => [task.id, task])),
   }
 }
 
-function typedRows<T>(
+function parseRows<T>(
   rows: ReadonlyMap<string, Row>,
   schema: z.ZodType<T>,
   idOf: (key: string) => string | undefined,
@@ -86,7 +86,7 @@
   return found
 }
 
-function idUnder(prefix: string, suffix = ''): (key: string) => string | undefined {
+function idBetween(prefix: string, suffix = ''): (key: string) => string | undefined {
   return (key) => {
     const matches = key.startsWith(prefix) && key.endsWith(suffix)
     return matches ? key.slice(prefix.length, key.length - suffix.length) : undefined
--- a/src/keeper/hallStatus.ts
+++ b/src/keeper/hallStatus.ts
@@ -10,7 +10,7 @@
 import type { KeeperContext } from './context.js'
 
 /** An entry that was silent for so long is shown as not reached, in ms. */
-const SILENT_AFTER_MS = 5000
+const UNREACHED_AFTER_MS = 5000
 
 /** Writes the hall's row if it changed. */
 export async function publishHallStatus(
@@ -18,28 +18,28 @@
   fence: number,
   peers: PeerNetwork,
 ): Promise<void> {
-  const value = describeHall(ctx.hall, peers)
+  const value = buildHallRow(ctx.hall, peers)
   const key = hallKey(ctx.hall)
   const row = ctx.rows.rows.get(key)
-  const known = hallRowSchema.safeParse(row?.value)
-  if (known.success && canonicalJson(known.data) === canonicalJson(value)) return
+  const stored = hallRowSchema.safeParse(row?.value)
+  if (stored.success && canonicalJson(stored.data) === canonicalJson(value)) return
   await writeUnderLease(ctx, fence, 'hallStatus', [
     { key, version: row?.version ?? 0, value },
   ])
 }
 
-function describeHall(hall: string, peers: PeerNetwork): HallRow {
+function buildHallRow(hall: string, peers: PeerNetwork): HallRow {
   const entries: HallRow['entries'] = []
   const own = peers.ownReport()
   if (own.routes) entries.push({ id: own.node, epoch: Number(own.epoch), reached: true })
   for (const { id, address, report, silentForMs } of peers.peers()) {
     if (address.hall !== hall || address.role !== 'entry') continue
-    const reached = report !== undefined && silentForMs() < SILENT_AFTER_MS
+    const reached = report !== undefined && silentForMs() < UNREACHED_AFTER_MS
     entries.push({ id, epoch: Number(report?.epoch ?? 0), reached })
   }
   entries.sort((a, b) => (a.id < b.id ? -1 : 1))
-  const answering = entries.filter((each) => each.reached)
+  const reachedEntries = entries.filter((each) => each.reached)
   const epoch =
-    answering.length > 0 ? Math.min(...answering.map((each) => each.epoch)) : 0
+    reachedEntries.length > 0 ? Math.min(...reachedEntries.map((each) => each.epoch)) : 0
   return { hall, epoch, entries }
 }
--- a/src/keeper/jobs.ts
+++ b/src/keeper/jobs.ts
@@ -56,13 +56,13 @@
   fence: number,
   job: JobRow,
 ): Promise<'done' | 'failed' | 'interrupted'> {
-  return job.state === 'starting' ? bringUp(ctx, fence, job) : bringDown(ctx, fence, job)
+  return job.state === 'starting' ? startJob(ctx, fence, job) : stopJob(ctx, fence, job)
 }
 
-async function bringUp(ctx: KeeperContext, fence: number, job: JobRow) {
+async function startJob(ctx: KeeperContext, fence: number, job: JobRow) {
   const line = ctx.state()?.table.services.get(job.service)
   if (!line) return 'interrupted'
-  const asked = await ctx.platform.startTask({
+  const startReply = await ctx.platform.startTask({
     id: job.id,
     vm: job.vm,
     service: job.service,
@@ -70,12 +70,12 @@
     memoryGb: line.memory_gb,
     leaseMs: 0,
   })
-  if (asked.isErr() && asked.error.failure === 'refused') {
-    return dropFailed(ctx, fence, job, asked.error.message)
+  if (startReply.isErr() && startReply.error.failure === 'refused') {
+    return removeFailedJob(ctx, fence, job, startReply.error.message)
   }
-  if (asked.isErr()) return 'interrupted'
+  if (startReply.isErr()) return 'interrupted'
   for (;;) {
-    await sleep(ctx.lookMs, ctx.signal)
+    await sleep(ctx.pollIntervalMs, ctx.signal)
     if (ctx.signal.aborted || ctx.lease.fence() !== fence) return 'interrupted'
     const state = ctx.state()
     const row = state?.jobs.get(job.id)
@@ -92,12 +92,12 @@
       return 'done'
     }
     if (task?.state === 'failed' || task?.state === 'stopped') {
-      return dropFailed(ctx, fence, job, task.reason ?? task.state)
+      return removeFailedJob(ctx, fence, job, task.reason ?? task.state)
     }
   }
 }
 
-async function dropFailed(
+async function removeFailedJob(
   ctx: KeeperContext,
   fence: number,
   job: JobRow,
@@ -113,17 +113,17 @@
   return 'failed' as const
 }
 
-async function bringDown(ctx: KeeperContext, fence: number, job: JobRow) {
+async function stopJob(ctx: KeeperContext, fence: number, job: JobRow) {
   const inFlight = inFlightAtJob(job.id)
   for (;;) {
     if (ctx.signal.aborted || ctx.lease.fence() !== fence) return 'interrupted'
     const row = ctx.state()?.jobs.get(job.id)
     if (!row) return 'done'
-    if (ctx.acks.waitingFor(row.revision, inFlight) === undefined) break
-    await sleep(ctx.lookMs, ctx.signal)
+    if (ctx.acks.pendingReason(row.revision, inFlight) === undefined) break
+    await sleep(ctx.pollIntervalMs, ctx.signal)
   }
-  const stopped = await ctx.platform.stopTask(job.id)
-  if (stopped.isErr()) return 'interrupted'
+  const stopReply = await ctx.platform.stopTask(job.id)
+  if (stopReply.isErr()) return 'interrupted'
   const row = ctx.state()?.jobs.get(job.id)
   if (!row) return 'done'
   const writes = [{ key: row.key, version: row.version, value: null }]
--- a/src/keeper/keeper.ts
+++ b/src/keeper/keeper.ts
@@ -32,8 +32,8 @@
 import { countJobs, maintainedVms, planWaves, poolsInWave, waveInput } from './waves.js'
 
 /** Pause after a failed start of a service's instance, in ms; it grows with each failure. */
-const FAILED_START_PAUSE_MS = 5000
-const FAILED_START_CAP_MS = 300_000
+const START_BACKOFF_INITIAL_MS = 5000
+const START_BACKOFF_MAX_MS = 300_000
 
 /** The running keeper. */
 export interface Keeper {
@@ -63,10 +63,10 @@
 export function createKeeper(opts: KeeperOptions): Keeper {
   const { hall, holder, platform, rows, table, peers, log, metrics } = opts
   const stopping = createStopController()
-  const working = new Map<string, Promise<void>>()
+  const pendingTasks = new Map<string, Promise<void>>()
   const failedStarts = new Map<string, { count: number; until: number }>()
-  const missing = new Map<string, number>()
-  const held = new Map<string, string>()
+  const missingSince = new Map<string, number>()
+  const holdReasons = new Map<string, string>()
   let listed: ListedVm[] = []
   let listRevision = 0
   let tasks: Task[] = []
@@ -86,7 +86,7 @@
     metrics,
     signal: stopping.signal,
     rebootTimeoutMs: opts.rebootTimeoutMs,
-    lookMs: Math.max(20, opts.cycleMs / 4),
+    pollIntervalMs: Math.max(20, opts.cycleMs / 4),
     unplaced: new Set(),
     state() {
       const inForce = table.current()
@@ -99,7 +99,7 @@
     },
   }
 
-  async function observe(): Promise<boolean> {
+  async function refreshState(): Promise<boolean> {
     await rows.refresh()
     const list = await platform.listVms(undefined, listRevision)
     if (list.isErr()) return false
@@ -117,18 +117,18 @@
   }
 
   async function round(fence: number): Promise<void> {
-    if (!(await observe())) return
+    if (!(await refreshState())) return
     const first = ctx.state()
     if (!first) return
-    await registerVms(ctx, fence, first, missing)
-    await decide(fence, (state) => decidePools(fence, state))
-    await decide(fence, (state) => decideWaves(fence, state))
-    await decide(fence, (state) => decideJobs(fence, state))
+    await registerVms(ctx, fence, first, missingSince)
+    await ifLeaseHeld(fence, (state) => startPoolMoves(fence, state))
+    await ifLeaseHeld(fence, (state) => advanceWaves(fence, state))
+    await ifLeaseHeld(fence, (state) => startAndStopJobs(fence, state))
     await publishHallStatus(ctx, fence, peers)
-    carryOn(fence)
+    resumePendingWork(fence)
   }
 
-  async function decide(
+  async function ifLeaseHeld(
     fence: number,
     step: (state: FleetState) => Promise<void>,
   ): Promise<void> {
@@ -136,35 +136,35 @@
     if (state && lease.fence() === fence) await step(state)
   }
 
-  async function decidePools(fence: number, state: FleetState): Promise<void> {
+  async function startPoolMoves(fence: number, state: FleetState): Promise<void> {
     const input = waveInput(state)
     const counts = countJobs(input.jobs)
     const count = (vm: string) => counts.get(vm) ?? 0
     for (const move of planPools(state.table, input.vms, count, poolsInWave(input))) {
-      const now = ctx.state()
-      if (!now) return
+      const latest = ctx.state()
+      if (!latest) return
       log.event('vmMoveStarted', { ...move })
-      await startMove(ctx, fence, now, move.vm, move.to)
+      await startMove(ctx, fence, latest, move.vm, move.to)
     }
   }
 
-  async function decideWaves(fence: number, state: FleetState): Promise<void> {
+  async function advanceWaves(fence: number, state: FleetState): Promise<void> {
     for (const decision of planWaves(waveInput(state))) {
-      const now = ctx.state()
-      if (!now) return
+      const latest = ctx.state()
+      if (!latest) return
       const { wave } = decision
       if (decision.kind === 'hold') {
-        noteHeld(wave, decision.reason)
+        logHold(wave, decision.reason)
         continue
       }
-      held.delete(wave)
+      holdReasons.delete(wave)
       if (decision.kind === 'finish') {
-        await finishWave(fence, now, wave)
+        await finishWave(fence, latest, wave)
         continue
       }
       const { vm, reason } = decision
       log.event('vmMaintStarted', { wave, vm, reason })
-      await startMaintenance(ctx, fence, now, vm, wave)
+      await startMaintenance(ctx, fence, latest, vm, wave)
     }
   }
 
@@ -177,13 +177,13 @@
   }
 
   /** Logs why a wave does not go on, once per reason. */
-  function noteHeld(wave: string, reason: string): void {
-    if (held.get(wave) === reason) return
-    held.set(wave, reason)
+  function logHold(wave: string, reason: string): void {
+    if (holdReasons.get(wave) === reason) return
+    holdReasons.set(wave, reason)
     log.event('waveHeld', { wave, reason })
   }
 
-  async function decideJobs(fence: number, state: FleetState): Promise<void> {
+  async function startAndStopJobs(fence: number, state: FleetState): Promise<void> {
     const input = waveInput(state)
     const decisions = planJobs({
       ...input,
@@ -194,16 +194,16 @@
       decisions.filter(
         (each): each is Extract<JobDecision, { kind: K }> => each.kind === kind,
       )
-    noteUnplaced(ofKind('unplaced'))
+    updateUnplaced(ofKind('unplaced'))
     const starts = ofKind('start').filter(({ service }) => {
       const failed = failedStarts.get(service)
       return !failed || failed.until <= monotonicMs()
     })
     await writeStarts(ctx, fence, state, starts)
-    await decide(fence, (now) => writeStops(ctx, fence, now, ofKind('stop')))
+    await ifLeaseHeld(fence, (now) => writeStops(ctx, fence, now, ofKind('stop')))
   }
 
-  function noteUnplaced(unplaced: { service: string; reason: string }[]): void {
+  function updateUnplaced(unplaced: { service: string; reason: string }[]): void {
     const names = new Set(unplaced.map((each) => each.service))
     for (const { service, reason } of unplaced) {
       if (!ctx.unplaced.has(service)) log.event('jobUnplaced', { service, reason })
@@ -212,37 +212,43 @@
   }
 
   /** Sees that one task works on each VM operation and each job that is not at rest. */
-  function carryOn(fence: number): void {
+  function resumePendingWork(fence: number): void {
     const state = ctx.state()
     if (!state) return
     for (const { value } of state.vms.values()) {
       if (!value.operation) continue
-      work(`vm ${value.id}`, () => runOperation(ctx, fence, value.id))
+      runOnce(`vm ${value.id}`, () => runOperation(ctx, fence, value.id))
     }
     for (const { value } of state.jobs.values()) {
       if (value.state === 'running') continue
-      work(`job ${value.id}`, async () => {
-        noteStart(value.service, await runJob(ctx, fence, value))
+      runOnce(`job ${value.id}`, async () => {
+        recordStartResult(value.service, await runJob(ctx, fence, value))
       })
     }
   }
 
-  function noteStart(service: string, how: 'done' | 'failed' | 'interrupted'): void {
-    if (how === 'done') failedStarts.delete(service)
-    if (how !== 'failed') return
+  function recordStartResult(
+    service: string,
+    result: 'done' | 'failed' | 'interrupted',
+  ): void {
+    if (result === 'done') failedStarts.delete(service)
+    if (result !== 'failed') return
     const count = (failedStarts.get(service)?.count ?? 0) + 1
-    const pause = Math.min(FAILED_START_CAP_MS, FAILED_START_PAUSE_MS * 2 ** (count - 1))
+    const pause = Math.min(
+      START_BACKOFF_MAX_MS,
+      START_BACKOFF_INITIAL_MS * 2 ** (count - 1),
+    )
     failedStarts.set(service, { count, until: monotonicMs() + pause })
   }
 
-  function work(name: string, run: () => Promise<void>): void {
-    if (working.has(name)) return
+  function runOnce(name: string, run: () => Promise<void>): void {
+    if (pendingTasks.has(name)) return
     const task = run()
       .catch((cause) => {
         log.event('unexpectedError', { step: name, reason: describeError(cause) })
       })
-      .finally(() => working.delete(name))
-    working.set(name, task)
+      .finally(() => pendingTasks.delete(name))
+    pendingTasks.set(name, task)
   }
 
   async function run(): Promise<void> {
@@ -264,13 +270,13 @@
     }
   }
 
-  const loop = run()
+  const roundLoop = run()
   return {
     holdsLease: () => lease.fence() !== undefined,
     async stop() {
       stopping.abort()
-      await loop
-      await Promise.all(working.values())
+      await roundLoop
+      await Promise.all(pendingTasks.values())
       await lease.stop()
     },
   }
--- a/src/keeper/lease.ts
+++ b/src/keeper/lease.ts
@@ -14,7 +14,7 @@
 /** Renewals per term. */
 const RENEWALS_PER_TERM = 3
 /** A standby waits this much longer than the term. */
-const TAKEOVER_MARGIN = 1.25
+const TAKEOVER_WAIT_FACTOR = 1.25
 
 /** The lease as its keeper sees it. */
 export interface Lease {
@@ -43,7 +43,7 @@
   now?: () => number
 }
 
-const today = () => new Date().toISOString()
+const currentTimestamp = () => new Date().toISOString()
 
 /** Starts the task that takes and renews the lease. */
 export function createLease(opts: LeaseOptions): Lease {
@@ -52,7 +52,7 @@
   const key = leaseKey(hall)
   const stopping = createStopController()
   let held: { fence: number; until: number } | undefined
-  let seen = { version: -1, at: 0 }
+  let lastChange = { version: -1, at: 0 }
 
   function setHeld(next: typeof held): void {
     if (!held && next) log.event('leaseTaken', { hall, holder, fence: next.fence })
@@ -61,7 +61,7 @@
     metrics.leaseHeld.set(next ? 1 : 0)
   }
 
-  async function write(row: Row | undefined, value: LeaseRow, startedAt: number) {
+  async function writeLeaseRow(row: Row | undefined, value: LeaseRow, startedAt: number) {
     const version = row?.version ?? 0
     const writes = [{ key, version, value }]
     const outcome = await commit(platform, { opId: newOpId('lease'), writes, guards: [] })
@@ -70,40 +70,48 @@
     if (value.holder === holder) setHeld({ fence: value.fence, until: startedAt + ttlMs })
   }
 
-  async function round(): Promise<void> {
+  async function takeOrRenew(): Promise<void> {
     const startedAt = now()
     const rows = await platform.read([key])
-    if (rows.isErr()) return expire()
+    if (rows.isErr()) return dropIfExpired()
     const row = rows.value.get(key)
     const found = leaseRowSchema.safeParse(row?.value)
     const current = found.success ? found.data : undefined
     const fence = current?.fence ?? 0
     if (current?.holder === holder) {
       if (held && held.fence !== fence) setHeld(undefined)
-      await write(row, { holder, fence, ttlMs, renewedAt: today() }, startedAt)
-      return expire()
+      await writeLeaseRow(
+        row,
+        { holder, fence, ttlMs, renewedAt: currentTimestamp() },
+        startedAt,
+      )
+      return dropIfExpired()
     }
     if (held) setHeld(undefined)
-    if (current && current.holder !== '' && !hasLapsed(row!, current)) return
-    await write(row, { holder, fence: fence + 1, ttlMs, renewedAt: today() }, startedAt)
+    if (current && current.holder !== '' && !hasExpired(row!, current)) return
+    await writeLeaseRow(
+      row,
+      { holder, fence: fence + 1, ttlMs, renewedAt: currentTimestamp() },
+      startedAt,
+    )
   }
 
   /** Whether the holder has been silent for longer than its term, as watched from here. */
-  function hasLapsed(row: Row, lease: LeaseRow): boolean {
-    if (row.version !== seen.version) {
-      seen = { version: row.version, at: now() }
+  function hasExpired(row: Row, lease: LeaseRow): boolean {
+    if (row.version !== lastChange.version) {
+      lastChange = { version: row.version, at: now() }
       return false
     }
-    return now() - seen.at > lease.ttlMs * TAKEOVER_MARGIN
+    return now() - lastChange.at > lease.ttlMs * TAKEOVER_WAIT_FACTOR
   }
 
-  function expire(): void {
+  function dropIfExpired(): void {
     if (held && now() >= held.until) setHeld(undefined)
   }
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
-      await round()
+      await takeOrRenew()
       const pause = ttlMs / RENEWALS_PER_TERM
       await sleep(jittered(pause), stopping.signal)
     }
@@ -125,7 +133,7 @@
       const row = rows.isOk() ? rows.value.get(key) : undefined
       const found = leaseRowSchema.safeParse(row?.value)
       if (!row || !found.success || found.data.fence !== fence) return
-      const value: LeaseRow = { holder: '', fence, ttlMs, renewedAt: today() }
+      const value: LeaseRow = { holder: '', fence, ttlMs, renewedAt: currentTimestamp() }
       const writes = [{ key, version: row.version, value }]
       await commit(platform, { opId: newOpId('lease'), writes, guards: [] })
       log.event('leaseReleased', { hall, holder, fence })
--- a/src/keeper/operationStarts.ts
+++ b/src/keeper/operationStarts.ts
@@ -32,8 +32,8 @@
   const vm = state.vms.get(vmId)!
   const operation = newOperation(vm.value, { kind: 'maintain', wave })
   const row = state.waves.get(wave)
-  const before = row?.value ?? newWaveRow(wave, ctx.hall)
-  const value: WaveRow = { ...before, doing: [...before.doing, vmId] }
+  const previous = row?.value ?? newWaveRow(wave, ctx.hall)
+  const value: WaveRow = { ...previous, doing: [...previous.doing, vmId] }
   const writes = [
     evacuateWrite(vm, operation),
     { key: waveKey(wave, ctx.hall), version: row?.version ?? 0, value },
@@ -43,10 +43,10 @@
 
 function newOperation(
   vm: VmRow,
-  what: Pick<Operation, 'kind' | 'toPool' | 'wave'>,
+  details: Pick<Operation, 'kind' | 'toPool' | 'wave'>,
 ): Operation {
-  const id = newOpId(what.kind)
-  return { ...what, id, fromIncarnation: vm.incarnation, services: [] }
+  const id = newOpId(details.kind)
+  return { ...details, id, fromIncarnation: vm.incarnation, services: [] }
 }
 
 /** An empty row of a wave in a hall. */
--- a/src/keeper/operations.ts
+++ b/src/keeper/operations.ts
@@ -12,14 +12,14 @@
 import { jobsOn, servicesOn } from './fleetState.js'
 import type { FleetState, Versioned } from './fleetState.js'
 import { budgetShortage } from './budgets.js'
-import { giveBackBudgets, takeBudgets } from './budgetWrites.js'
+import { releaseBudgets, chargeBudgets } from './budgetWrites.js'
 import { waveInput } from './waves.js'
 
 /** Why an operation task ended without finishing; the next round starts it again. */
 const INTERRUPTED = Symbol('interrupted')
-type Step<T = void> = Promise<T | typeof INTERRUPTED>
+type StepResult<T = void> = Promise<T | typeof INTERRUPTED>
 
-function leaveWrite(vm: Versioned<VmRow>, services: string[]): RowWrite {
+function leavingWrite(vm: Versioned<VmRow>, services: string[]): RowWrite {
   const { key, version, value } = vm
   const generation = value.generation + 1
   const operation = value.operation && { ...value.operation, services }
@@ -33,8 +33,8 @@
   vmId: string,
 ): Promise<void> {
   if ((await evacuate(ctx, fence, vmId)) === INTERRUPTED) return
-  if ((await emptyVm(ctx, fence, vmId)) === INTERRUPTED) return
-  const operation = current(ctx, vmId)?.vm.value.operation
+  if ((await drainVm(ctx, fence, vmId)) === INTERRUPTED) return
+  const operation = findVm(ctx, vmId)?.vm.value.operation
   if (!operation) return
   if (operation.kind === 'move') {
     await finishMove(ctx, fence, vmId)
@@ -44,7 +44,7 @@
   await finishMaintenance(ctx, fence, vmId)
 }
 
-function current(ctx: KeeperContext, vmId: string) {
+function findVm(ctx: KeeperContext, vmId: string) {
   const state = ctx.state()
   const vm = state?.vms.get(vmId)
   return state && vm ? { state, vm } : undefined
@@ -55,16 +55,16 @@
   ctx: KeeperContext,
   fence: number,
   vmId: string,
-  waitingFor: () => string | undefined,
-): Step {
+  pendingReason: () => string | undefined,
+): StepResult {
   let logged = ''
   for (;;) {
     if (ctx.signal.aborted || ctx.lease.fence() !== fence) return INTERRUPTED
-    const reason = waitingFor()
+    const reason = pendingReason()
     if (reason === undefined) return undefined
     if (reason !== logged) ctx.log.event('vmWaiting', { vm: vmId, reason })
     logged = reason
-    await sleep(ctx.lookMs, ctx.signal)
+    await sleep(ctx.pollIntervalMs, ctx.signal)
   }
 }
 
@@ -72,26 +72,29 @@
  * Waits until the jobs of the VM run elsewhere. What fits nowhere else is taken out of
  * its budget in the transaction that marks the VM as leaving.
  */
-async function evacuate(ctx: KeeperContext, fence: number, vmId: string): Step {
+async function evacuate(ctx: KeeperContext, fence: number, vmId: string): StepResult {
   for (;;) {
-    const left = await waitUntil(ctx, fence, vmId, () => {
-      const found = current(ctx, vmId)
+    const waited = await waitUntil(ctx, fence, vmId, () => {
+      const found = findVm(ctx, vmId)
       if (!found) return 'no table is in force'
       if (found.vm.value.state !== 'evacuating') return undefined
-      return jobsToMove(ctx, found.state, vmId) ?? shortage(found.state, vmId)
+      return unmovedService(ctx, found.state, vmId) ?? budgetReason(found.state, vmId)
     })
-    if (left === INTERRUPTED) return INTERRUPTED
-    const found = current(ctx, vmId)
+    if (waited === INTERRUPTED) return INTERRUPTED
+    const found = findVm(ctx, vmId)
     if (found?.vm.value.state !== 'evacuating') return undefined
     const { state, vm } = found
     const services = servicesOn(state, vmId)
-    const writes = [leaveWrite(vm, services), ...takeBudgets(state, vm.value, services)]
+    const writes = [
+      leavingWrite(vm, services),
+      ...chargeBudgets(state, vm.value, services),
+    ]
     if (await writeUnderLease(ctx, fence, 'leave', writes)) return undefined
   }
 }
 
 /** Names a service on the VM that has room elsewhere but does not run there yet. */
-function jobsToMove(
+function unmovedService(
   ctx: KeeperContext,
   state: FleetState,
   vmId: string,
@@ -101,27 +104,27 @@
 }
 
 /** Why the budgets forbid taking away what is left on the VM. */
-function shortage(state: FleetState, vmId: string): string | undefined {
+function budgetReason(state: FleetState, vmId: string): string | undefined {
   return budgetShortage(waveInput(state), servicesOn(state, vmId))
 }
 
 /** Waits for the entries to leave the VM, then stops what is left on it. */
-async function emptyVm(ctx: KeeperContext, fence: number, vmId: string): Step {
-  const found = current(ctx, vmId)
+async function drainVm(ctx: KeeperContext, fence: number, vmId: string): StepResult {
+  const found = findVm(ctx, vmId)
   if (!found || found.vm.value.state === 'away') return undefined
   const { revision, value } = found.vm
-  const drained = await waitUntil(ctx, fence, vmId, () => {
+  const waited = await waitUntil(ctx, fence, vmId, () => {
     const inFlight = inFlightOnVm(vmId, value.generation)
-    return ctx.acks.waitingFor(revision, inFlight)
+    return ctx.acks.pendingReason(revision, inFlight)
   })
-  if (drained === INTERRUPTED) return INTERRUPTED
+  if (waited === INTERRUPTED) return INTERRUPTED
   ctx.log.event('vmDrained', { vm: vmId, operation: value.operation?.id })
   const opId = value.operation?.id ?? newOpId('drain')
-  const told = await ctx.platform.drainVm(vmId, opId)
-  return told.isOk() ? stopJobs(ctx, fence, vmId) : INTERRUPTED
+  const drainReply = await ctx.platform.drainVm(vmId, opId)
+  return drainReply.isOk() ? stopJobs(ctx, fence, vmId) : INTERRUPTED
 }
 
-async function stopJobs(ctx: KeeperContext, fence: number, vmId: string): Step {
+async function stopJobs(ctx: KeeperContext, fence: number, vmId: string): StepResult {
   const state = ctx.state()
   if (!state) return INTERRUPTED
   const jobs = [...state.jobs.values()].filter((job) => job.value.vm === vmId)
@@ -145,8 +148,8 @@
   return rest
 }
 
-async function finishMove(ctx: KeeperContext, fence: number, vmId: string): Step {
-  const found = current(ctx, vmId)
+async function finishMove(ctx: KeeperContext, fence: number, vmId: string): StepResult {
+  const found = findVm(ctx, vmId)
   const operation = found?.vm.value.operation
   if (!found || operation?.toPool === undefined) return INTERRUPTED
   const { state, vm } = found
@@ -159,7 +162,7 @@
   }
   const writes = [
     { key: vm.key, version: vm.version, value },
-    ...giveBackBudgets(state, operation),
+    ...releaseBudgets(state, operation),
   ]
   if (!(await writeUnderLease(ctx, fence, 'finishMove', writes))) return INTERRUPTED
   ctx.metrics.moves.inc({ kind: 'vm' })
@@ -173,8 +176,8 @@
   return undefined
 }
 
-async function reboot(ctx: KeeperContext, fence: number, vmId: string): Step {
-  const found = current(ctx, vmId)
+async function reboot(ctx: KeeperContext, fence: number, vmId: string): StepResult {
+  const found = findVm(ctx, vmId)
   const operation = found?.vm.value.operation
   if (!found || !operation) return INTERRUPTED
   const { key, version, value } = found.vm
@@ -184,30 +187,31 @@
     const writes = [{ key, version, value: away }]
     if (!(await writeUnderLease(ctx, fence, 'away', writes))) return INTERRUPTED
   }
-  const asked = await ctx.platform.rebootVm(vmId, operation.id)
-  if (asked.isErr()) return INTERRUPTED
-  return waitForReturn(ctx, fence, vmId, operation)
+  const rebootReply = await ctx.platform.rebootVm(vmId, operation.id)
+  if (rebootReply.isErr()) return INTERRUPTED
+  return waitForReboot(ctx, fence, vmId, operation)
 }
 
-async function waitForReturn(
+async function waitForReboot(
   ctx: KeeperContext,
   fence: number,
   vmId: string,
   operation: Operation,
-): Step {
+): StepResult {
   const startedAt = monotonicMs()
   let halted = false
-  const isBack = () => {
+  const hasRebooted = () => {
     const listed = ctx.state()?.listed.get(vmId)
-    const isNew = listed !== undefined && listed.incarnation !== operation.fromIncarnation
-    return isNew && listed.state === 'live'
+    const isNewIncarnation =
+      listed !== undefined && listed.incarnation !== operation.fromIncarnation
+    return isNewIncarnation && listed.state === 'live'
   }
-  while (!isBack()) {
+  while (!hasRebooted()) {
     if (ctx.signal.aborted || ctx.lease.fence() !== fence) return INTERRUPTED
     if (!halted && monotonicMs() - startedAt > ctx.rebootTimeoutMs) {
       halted = await haltWave(ctx, fence, operation, `${vmId} did not come back in time`)
     }
-    await sleep(ctx.lookMs, ctx.signal)
+    await sleep(ctx.pollIntervalMs, ctx.signal)
   }
   return undefined
 }
@@ -228,8 +232,12 @@
   return done
 }
 
-async function finishMaintenance(ctx: KeeperContext, fence: number, vmId: string): Step {
-  const found = current(ctx, vmId)
+async function finishMaintenance(
+  ctx: KeeperContext,
+  fence: number,
+  vmId: string,
+): StepResult {
+  const found = findVm(ctx, vmId)
   const operation = found?.vm.value.operation
   const listed = found?.state.listed.get(vmId)
   if (!found || !operation || !listed) return INTERRUPTED
@@ -243,7 +251,7 @@
   }
   const writes: RowWrite[] = [
     { key: vm.key, version: vm.version, value },
-    ...giveBackBudgets(state, operation),
+    ...releaseBudgets(state, operation),
   ]
   const wave = state.waves.get(operation.wave ?? '')
   if (wave) {
--- a/src/keeper/placement.ts
+++ b/src/keeper/placement.ts
@@ -41,7 +41,7 @@
 }
 
 /** Free room of a VM. */
-interface Room {
+interface VmCapacity {
   vm: VmRow
   cpus: number
   memoryGb: number
@@ -52,17 +52,19 @@
 /** Decides what to start and stop, given the VMs and jobs of a hall. */
 export function planJobs(input: PlacementInput): JobDecision[] {
   const { table, vms, jobs } = input
-  const rooms = makeRooms(table, vms, jobs)
+  const capacities = computeCapacities(table, vms, jobs)
   const byService = groupBy(jobs, (job) => job.service)
   const decisions: JobDecision[] = []
-  for (const [service, mine] of byService) {
+  for (const [service, serviceJobs] of byService) {
     if (table.services.has(service)) continue
-    const left = mine.filter((job) => job.state !== 'stopping')
-    decisions.push(...left.map((job) => stop(job, 'service is not in the table')))
+    const unstopped = serviceJobs.filter((job) => job.state !== 'stopping')
+    decisions.push(
+      ...unstopped.map((job) => stopDecision(job, 'service is not in the table')),
+    )
   }
   for (const [service, line] of table.services) {
-    const mine = byService.get(service) ?? []
-    decisions.push(...planService(input, service, line, mine, rooms))
+    const serviceJobs = byService.get(service) ?? []
+    decisions.push(...planService(input, service, line, serviceJobs, capacities))
   }
   return decisions
 }
@@ -72,114 +74,135 @@
   service: string,
   line: ServiceLine,
   jobs: readonly JobRow[],
-  rooms: Map<string, Room>,
+  capacities: Map<string, VmCapacity>,
 ): JobDecision[] {
-  const mine = jobs.filter((job) => job.state !== 'stopping')
-  const isSound = (job: JobRow) => rooms.get(job.vm)?.vm.incarnation === job.incarnation
-  const standing = mine.filter(
-    (job) => isSound(job) && stands(rooms.get(job.vm)!.vm, line),
+  const current = jobs.filter((job) => job.state !== 'stopping')
+  const isOnCurrentIncarnation = (job: JobRow) =>
+    capacities.get(job.vm)?.vm.incarnation === job.incarnation
+  const staying = current.filter(
+    (job) =>
+      isOnCurrentIncarnation(job) && keepsInstances(capacities.get(job.vm)!.vm, line),
   )
   const decisions = [
-    ...surplusStops(service, line, standing),
-    ...fallenStops(service, line, mine, standing, rooms),
+    ...surplusStops(service, line, staying),
+    ...displacedStops(service, line, current, staying, capacities),
   ]
-  const choose = () => start(service, line, rooms, input.maintained ?? new Set())
-  for (let n = standing.length; n < line.instances; n++) {
-    const decision = choose()
+  const placeNext = () =>
+    placeInstance(service, line, capacities, input.maintained ?? new Set())
+  for (let n = staying.length; n < line.instances; n++) {
+    const decision = placeNext()
     decisions.push(decision)
     if (decision.kind === 'unplaced') break
   }
-  const settled = mine.length === line.instances && standing.length === line.instances
-  const calm = !input.inWave?.has(line.pool)
-  if (settled && calm && isCrowded(service, line, standing, rooms))
-    decisions.push(choose())
+  const hasExactCount =
+    current.length === line.instances && staying.length === line.instances
+  const isOutsideWave = !input.inWave?.has(line.pool)
+  if (
+    hasExactCount &&
+    isOutsideWave &&
+    isUnevenlySpread(service, line, staying, capacities)
+  )
+    decisions.push(placeNext())
   return decisions
 }
 
 /** Whether an instance on this VM counts as one that stays. */
-function stands(vm: VmRow, line: ServiceLine): boolean {
+function keepsInstances(vm: VmRow, line: ServiceLine): boolean {
   return vm.state === 'active' && vm.operation === undefined && vm.pool === line.pool
 }
 
 /** Whether a VM has two more instances than another that could take one. */
-function isCrowded(
+function isUnevenlySpread(
   service: string,
   line: ServiceLine,
-  standing: readonly JobRow[],
-  rooms: Map<string, Room>,
+  staying: readonly JobRow[],
+  capacities: Map<string, VmCapacity>,
 ): boolean {
-  if (standing.some((job) => job.state !== 'running')) return false
-  const most = Math.max(0, ...standing.map((job) => countOf(rooms.get(job.vm)!, service)))
+  if (staying.some((job) => job.state !== 'running')) return false
+  const most = Math.max(
+    0,
+    ...staying.map((job) => instanceCount(capacities.get(job.vm)!, service)),
+  )
   if (most < 2) return false
-  const fewest = fittingRooms(line, rooms).map((room) => countOf(room, service))
+  const fewest = candidateCapacities(line, capacities).map((capacity) =>
+    instanceCount(capacity, service),
+  )
   return most - Math.min(Infinity, ...fewest) >= 2
 }
 
-const countOf = (room: Room, service: string): number => room.counts.get(service) ?? 0
+const instanceCount = (capacity: VmCapacity, service: string): number =>
+  capacity.counts.get(service) ?? 0
 
-function fittingRooms(line: ServiceLine, rooms: Map<string, Room>): Room[] {
-  return [...rooms.values()].filter(
-    (room) =>
-      stands(room.vm, line) && room.cpus >= line.cpus && room.memoryGb >= line.memory_gb,
+function candidateCapacities(
+  line: ServiceLine,
+  capacities: Map<string, VmCapacity>,
+): VmCapacity[] {
+  return [...capacities.values()].filter(
+    (capacity) =>
+      keepsInstances(capacity.vm, line) &&
+      capacity.cpus >= line.cpus &&
+      capacity.memoryGb >= line.memory_gb,
   )
 }
 
-function makeRooms(
+function computeCapacities(
   table: Table,
   vms: readonly VmRow[],
   jobs: readonly JobRow[],
-): Map<string, Room> {
-  const rooms = new Map<string, Room>()
+): Map<string, VmCapacity> {
+  const capacities = new Map<string, VmCapacity>()
   for (const vm of vms) {
     if (vm.state === 'gone') continue
     const { cpus, memoryGb } = vm
-    rooms.set(vm.id, { vm, cpus, memoryGb, counts: new Map() })
+    capacities.set(vm.id, { vm, cpus, memoryGb, counts: new Map() })
   }
   for (const job of jobs) {
-    const room = rooms.get(job.vm)
+    const capacity = capacities.get(job.vm)
     const line = table.services.get(job.service)
-    if (room && line) occupy(room, job.service, line)
+    if (capacity && line) addInstance(capacity, job.service, line)
   }
-  return rooms
+  return capacities
 }
 
-function occupy(room: Room, service: string, line: ServiceLine): void {
-  room.cpus -= line.cpus
-  room.memoryGb -= line.memory_gb
-  room.counts.set(service, countOf(room, service) + 1)
+function addInstance(capacity: VmCapacity, service: string, line: ServiceLine): void {
+  capacity.cpus -= line.cpus
+  capacity.memoryGb -= line.memory_gb
+  capacity.counts.set(service, instanceCount(capacity, service) + 1)
 }
 
-function start(
+function placeInstance(
   service: string,
   line: ServiceLine,
-  rooms: Map<string, Room>,
+  capacities: Map<string, VmCapacity>,
   maintained: ReadonlySet<string>,
 ): JobDecision {
-  const fitting = fittingRooms(line, rooms)
-  const done = (room: Room) => (maintained.has(room.vm.id) ? 0 : 1)
-  fitting.sort(
+  const candidates = candidateCapacities(line, capacities)
+  const waveRank = (capacity: VmCapacity) => (maintained.has(capacity.vm.id) ? 0 : 1)
+  candidates.sort(
     (a, b) =>
-      countOf(a, service) - countOf(b, service) ||
-      done(a) - done(b) ||
+      instanceCount(a, service) - instanceCount(b, service) ||
+      waveRank(a) - waveRank(b) ||
       b.cpus - a.cpus ||
       (a.vm.id < b.vm.id ? -1 : 1),
   )
-  const best = fitting[0]
+  const best = candidates[0]
   if (!best) {
-    const inPool = [...rooms.values()].filter((room) => stands(room.vm, line))
+    const inPool = [...capacities.values()].filter((capacity) =>
+      keepsInstances(capacity.vm, line),
+    )
     return { kind: 'unplaced', service, reason: shortage(line, inPool) }
   }
-  const reason = `${countOf(best, service)} of its like there, ${best.cpus} processors free`
-  occupy(best, service, line)
+  const reason = `${instanceCount(best, service)} of its like there, ${best.cpus} processors free`
+  addInstance(best, service, line)
   const job = `${service}-${nanoid(8)}`
-  return { kind: 'start', job, service, vm: best.vm.id, from: fitting.length, reason }
+  return { kind: 'start', job, service, vm: best.vm.id, from: candidates.length, reason }
 }
 
 /** Which resource is short, for people. */
-function shortage(line: ServiceLine, inPool: readonly Room[]): string {
+function shortage(line: ServiceLine, inPool: readonly VmCapacity[]): string {
   if (inPool.length === 0) return `pool '${line.pool}' has no active VM`
-  const cpus = Math.max(...inPool.map((room) => room.cpus))
-  const memory = Math.max(...inPool.map((room) => room.memoryGb))
+  const cpus = Math.max(...inPool.map((capacity) => capacity.cpus))
+  const memory = Math.max(...inPool.map((capacity) => capacity.memoryGb))
   if (cpus < line.cpus) return `needs ${line.cpus} processors, the most free is ${cpus}`
   if (memory < line.memory_gb) {
     return `needs ${line.memory_gb} GB of memory, the most free is ${memory} GB`
@@ -187,7 +210,7 @@
   return 'no VM has both the processors and the memory'
 }
 
-function stop(job: JobRow, reason: string): JobDecision {
+function stopDecision(job: JobRow, reason: string): JobDecision {
   return { kind: 'stop', job: job.id, service: job.service, reason }
 }
 
@@ -198,24 +221,24 @@
 function surplusStops(
   service: string,
   line: ServiceLine,
-  standing: readonly JobRow[],
+  staying: readonly JobRow[],
 ): JobDecision[] {
   const reason = `'${service}' asks for ${line.instances} instances`
-  const running = standing.filter((job) => job.state === 'running')
-  const starting = standing.filter((job) => job.state === 'starting')
-  const wanted = Math.max(1, line.instances - running.length)
-  const stops = starting.slice(0, Math.max(0, starting.length - wanted))
-  const left = [...running]
-  while (left.length > line.instances) {
-    const crowded = mostCrowded(left)
-    left.splice(left.indexOf(crowded), 1)
-    stops.push(crowded)
+  const running = staying.filter((job) => job.state === 'running')
+  const starting = staying.filter((job) => job.state === 'starting')
+  const allowedStarts = Math.max(1, line.instances - running.length)
+  const stops = starting.slice(0, Math.max(0, starting.length - allowedStarts))
+  const remaining = [...running]
+  while (remaining.length > line.instances) {
+    const surplus = jobOnFullestVm(remaining)
+    remaining.splice(remaining.indexOf(surplus), 1)
+    stops.push(surplus)
   }
-  return stops.map((job) => stop(job, reason))
+  return stops.map((job) => stopDecision(job, reason))
 }
 
 /** A job on the VM with the most of these jobs; the last such one. */
-function mostCrowded(jobs: readonly JobRow[]): JobRow {
+function jobOnFullestVm(jobs: readonly JobRow[]): JobRow {
   const counts = countJobs(jobs)
   const count = (job: JobRow) => counts.get(job.vm) ?? 0
   return jobs.reduce((best, job) => (count(job) >= count(best) ? job : best))
@@ -225,25 +248,27 @@
  * Instances that do not stand any more: dead ones go at once, those that still serve
  * as far as enough others serve.
  */
-function fallenStops(
+function displacedStops(
   service: string,
   line: ServiceLine,
-  mine: readonly JobRow[],
-  standing: readonly JobRow[],
-  rooms: Map<string, Room>,
+  current: readonly JobRow[],
+  staying: readonly JobRow[],
+  capacities: Map<string, VmCapacity>,
 ): JobDecision[] {
-  const fallen = mine.filter((job) => !standing.includes(job))
-  const serves = (job: JobRow) => {
-    const vm = rooms.get(job.vm)?.vm
-    const sound = vm?.incarnation === job.incarnation
-    return job.state === 'running' && sound && servesWork(vm)
+  const displaced = current.filter((job) => !staying.includes(job))
+  const isServing = (job: JobRow) => {
+    const vm = capacities.get(job.vm)?.vm
+    const isCurrentIncarnation = vm?.incarnation === job.incarnation
+    return job.state === 'running' && isCurrentIncarnation && servesWork(vm)
   }
-  const dead = fallen.filter((job) => !serves(job))
-  const serving = fallen.filter(serves)
-  const running = standing.filter((job) => job.state === 'running').length
-  const spare = Math.max(0, running + serving.length - line.instances)
+  const dead = displaced.filter((job) => !isServing(job))
+  const serving = displaced.filter(isServing)
+  const running = staying.filter((job) => job.state === 'running').length
+  const surplus = Math.max(0, running + serving.length - line.instances)
   return [
-    ...dead.map((job) => stop(job, 'its VM does not serve any more')),
-    ...serving.slice(0, spare).map((job) => stop(job, `'${service}' runs elsewhere`)),
+    ...dead.map((job) => stopDecision(job, 'its VM does not serve any more')),
+    ...serving
+      .slice(0, surplus)
+      .map((job) => stopDecision(job, `'${service}' runs elsewhere`)),
   ]
 }
--- a/src/keeper/pools.ts
+++ b/src/keeper/pools.ts
@@ -33,22 +33,22 @@
 ): number {
   let cpus = 0
   let memory = 0
-  let widest = 0
+  let minimumVms = 0
   for (const service of services) {
     cpus += service.instances * service.cpus
     memory += service.instances * service.memory_gb
     // Two VMs at least for several instances, so that they do not share one.
-    widest = Math.max(widest, Math.min(service.instances, 2))
+    minimumVms = Math.max(minimumVms, Math.min(service.instances, 2))
   }
   const bySize = Math.max(cpus / vm.cpus, memory / vm.memoryGb)
-  return Math.max(widest, Math.ceil(bySize))
+  return Math.max(minimumVms, Math.ceil(bySize))
 }
 
 /**
  * Shares out VMs: each pool gets its demand, or when they are scarce its share by
  * weight, never more than its demand. Whole VMs, largest remainder first.
  */
-export function shareOut(
+export function allocateByWeight(
   demand: ReadonlyMap<string, number>,
   weights: ReadonlyMap<string, number>,
   available: number,
@@ -58,28 +58,28 @@
   const shares = new Map([...demand.keys()].map((pool) => [pool, 0]))
   // With enough for all there is nothing to weigh.
   if (total <= available) return new Map([...shares, ...wanted])
-  let left = available
-  while (left > 0) {
-    const next = mostDeserving(demand, weights, shares)
+  let remaining = available
+  while (remaining > 0) {
+    const next = nextPoolByWeight(demand, weights, shares)
     if (next === undefined) break
     shares.set(next, shares.get(next)! + 1)
-    left--
+    remaining--
   }
   return shares
 }
 
 /** The pool with unmet demand that has the least for its weight; ties go by name. */
-function mostDeserving(
+function nextPoolByWeight(
   demand: ReadonlyMap<string, number>,
   weights: ReadonlyMap<string, number>,
   shares: ReadonlyMap<string, number>,
 ): string | undefined {
   let best: { pool: string; score: number } | undefined
   for (const [pool, wanted] of demand) {
-    const has = shares.get(pool)!
+    const allocated = shares.get(pool)!
     const weight = weights.get(pool) ?? 0
-    if (has >= wanted || weight <= 0) continue
-    const score = (has + 1) / weight
+    if (allocated >= wanted || weight <= 0) continue
+    const score = (allocated + 1) / weight
     if (best && (score > best.score || (score === best.score && pool > best.pool)))
       continue
     best = { pool, score }
@@ -103,46 +103,51 @@
   if (!first) return []
   const demand = poolDemand(table, first)
   const weights = new Map([...table.pools].map(([pool, line]) => [pool, line.weight]))
-  const shares = shareOut(demand, weights, usable.length)
-  const targetOf = (vm: VmRow) => vm.operation?.toPool ?? vm.pool
+  const shares = allocateByWeight(demand, weights, usable.length)
+  const destinationOf = (vm: VmRow) => vm.operation?.toPool ?? vm.pool
   const counts = new Map<string, number>()
-  for (const vm of usable) counts.set(targetOf(vm), (counts.get(targetOf(vm)) ?? 0) + 1)
+  for (const vm of usable)
+    counts.set(destinationOf(vm), (counts.get(destinationOf(vm)) ?? 0) + 1)
 
-  const givers = usable
+  const movableVms = usable
     .filter((vm) => vm.state === 'active' && vm.operation === undefined)
     .sort((a, b) => jobCount(a.id) - jobCount(b.id) || (a.id < b.id ? -1 : 1))
   const moves: PoolMove[] = []
 
-  const take = (vm: VmRow, to: string, reason: string) => {
-    givers.splice(givers.indexOf(vm), 1)
+  const addMove = (vm: VmRow, to: string, reason: string) => {
+    movableVms.splice(movableVms.indexOf(vm), 1)
     counts.set(vm.pool, counts.get(vm.pool)! - 1)
     counts.set(to, (counts.get(to) ?? 0) + 1)
     moves.push({ vm: vm.id, from: vm.pool, to, reason })
   }
   const surplus = (pool: string) => (counts.get(pool) ?? 0) - (shares.get(pool) ?? 0)
-  const spare = (pool: string) =>
+  const surgeAllowance = (pool: string) =>
     surge.has(pool) && (shares.get(pool) ?? 0) < (table.pools.get(pool)?.limit ?? 0)
       ? 1
       : 0
-  const giver = () =>
-    givers.find((vm) => vm.pool === RESERVE_POOL) ??
-    givers.find((vm) => vm.pool !== RESERVE_POOL && surplus(vm.pool) > 0)
+  const nextSourceVm = () =>
+    movableVms.find((vm) => vm.pool === RESERVE_POOL) ??
+    movableVms.find((vm) => vm.pool !== RESERVE_POOL && surplus(vm.pool) > 0)
 
   for (const [pool, share] of shares) {
     while ((counts.get(pool) ?? 0) < share) {
-      const vm = giver()
+      const vm = nextSourceVm()
       if (!vm) break
-      take(vm, pool, `pool has ${counts.get(pool) ?? 0} of its share of ${share}`)
+      addMove(vm, pool, `pool has ${counts.get(pool) ?? 0} of its share of ${share}`)
     }
   }
   for (const pool of shares.keys()) {
-    const vm = givers.find((each) => each.pool === RESERVE_POOL)
-    if (!vm || spare(pool) === 0 || surplus(pool) !== 0) continue
-    take(vm, pool, 'a wave goes through the pool, and the reserve can spare a VM')
+    const vm = movableVms.find((each) => each.pool === RESERVE_POOL)
+    if (!vm || surgeAllowance(pool) === 0 || surplus(pool) !== 0) continue
+    addMove(vm, pool, 'a wave goes through the pool, and the reserve can spare a VM')
   }
-  for (const vm of [...givers]) {
-    if (vm.pool === RESERVE_POOL || surplus(vm.pool) <= spare(vm.pool)) continue
-    take(vm, RESERVE_POOL, `pool has more than its share of ${shares.get(vm.pool) ?? 0}`)
+  for (const vm of [...movableVms]) {
+    if (vm.pool === RESERVE_POOL || surplus(vm.pool) <= surgeAllowance(vm.pool)) continue
+    addMove(
+      vm,
+      RESERVE_POOL,
+      `pool has more than its share of ${shares.get(vm.pool) ?? 0}`,
+    )
   }
   return moves
 }
--- a/src/keeper/registration.ts
+++ b/src/keeper/registration.ts
@@ -13,30 +13,30 @@
 
 /**
  * Brings the rows of VMs in line with the list. A VM under an operation is left to it.
- * @param missing when each VM was first seen to be missing, on the monotonic clock.
+ * @param missingSince when each VM was first seen to be missing, on the monotonic clock.
  */
 export async function registerVms(
   ctx: KeeperContext,
   fence: number,
   state: FleetState,
-  missing: Map<string, number>,
+  missingSince: Map<string, number>,
 ): Promise<void> {
   const writes: RowWrite[] = []
   for (const vm of state.listed.values()) {
-    missing.delete(vm.id)
+    missingSince.delete(vm.id)
     const known = state.vms.get(vm.id)
-    const write = known ? returnWrite(known, vm) : firstWrite(ctx, vm)
+    const write = known ? reactivateWrite(known, vm) : newVmWrite(ctx, vm)
     if (write) writes.push(write)
   }
   for (const known of state.vms.values()) {
     if (state.listed.has(known.value.id)) continue
-    const write = goneWrite(ctx, known, missing)
+    const write = goneWrite(ctx, known, missingSince)
     if (write) writes.push(write)
   }
   if (writes.length > 0) await writeUnderLease(ctx, fence, 'registerVms', writes)
 }
 
-function firstWrite(ctx: KeeperContext, vm: ListedVm): RowWrite {
+function newVmWrite(ctx: KeeperContext, vm: ListedVm): RowWrite {
   const { id, rack, incarnation, cpus, memoryGb } = vm
   const { hall } = ctx
   ctx.log.event('vmRegistered', { vm: id, rack, pool: RESERVE_POOL })
@@ -53,25 +53,25 @@
 }
 
 /** A VM that restarted, was replaced, or is listed again. */
-function returnWrite(known: Versioned<VmRow>, vm: ListedVm): RowWrite | undefined {
+function reactivateWrite(known: Versioned<VmRow>, vm: ListedVm): RowWrite | undefined {
   const { key, version, value } = known
   const restarted = value.incarnation !== vm.incarnation
   if (value.operation || (!restarted && value.state !== 'gone')) return undefined
   const { rack, incarnation } = vm
   const generation = value.generation + 1
-  const back: VmRow = { ...value, rack, incarnation, generation, state: 'active' }
-  return { key, version, value: back }
+  const updated: VmRow = { ...value, rack, incarnation, generation, state: 'active' }
+  return { key, version, value: updated }
 }
 
 function goneWrite(
   ctx: KeeperContext,
   known: Versioned<VmRow>,
-  missing: Map<string, number>,
+  missingSince: Map<string, number>,
 ): RowWrite | undefined {
   const { key, version, value } = known
   if (value.state === 'gone' || value.operation) return undefined
-  const since = missing.get(value.id) ?? monotonicMs()
-  missing.set(value.id, since)
+  const since = missingSince.get(value.id) ?? monotonicMs()
+  missingSince.set(value.id, since)
   if (monotonicMs() - since < GONE_AFTER_MS) return undefined
   ctx.log.event('vmGone', { vm: value.id, pool: value.pool })
   const generation = value.generation + 1
--- a/src/keeper/waves.ts
+++ b/src/keeper/waves.ts
@@ -60,10 +60,10 @@
 
 /** Decides at most one step per wave. */
 export function planWaves(input: WaveInput): WaveDecision[] {
-  const taken = new Set<string>()
+  const chosenVms = new Set<string>()
   return dueWaves(input).map(([wave, line]) => {
-    const decision = planWave(input, wave, line, taken)
-    if (decision.kind === 'start') taken.add(decision.vm)
+    const decision = planWave(input, wave, line, chosenVms)
+    if (decision.kind === 'start') chosenVms.add(decision.vm)
     return decision
   })
 }
@@ -72,28 +72,28 @@
   input: WaveInput,
   wave: string,
   line: WaveLine,
-  taken: ReadonlySet<string>,
+  chosenVms: ReadonlySet<string>,
 ): WaveDecision {
   const hold = (reason: string): WaveDecision => ({ kind: 'hold', wave, reason })
   const row = input.waves.get(wave)
   if (row && row.halted !== '') return hold(`halted: ${row.halted}`)
   const doing = row?.doing.length ?? 0
   const inPool = input.vms.filter((vm) => vm.pool === line.pool && vm.state !== 'gone')
-  const left = inPool.filter((vm) => !row?.done.includes(vm.id))
-  if (left.length === 0 && doing === 0) return { kind: 'finish', wave }
+  const remaining = inPool.filter((vm) => !row?.done.includes(vm.id))
+  if (remaining.length === 0 && doing === 0) return { kind: 'finish', wave }
   if (doing >= line.limit)
     return hold(`${doing} VMs are away, the limit is ${line.limit}`)
-  const ready = left.filter(
-    (vm) => vm.state === 'active' && vm.operation === undefined && !taken.has(vm.id),
+  const candidates = remaining.filter(
+    (vm) => vm.state === 'active' && vm.operation === undefined && !chosenVms.has(vm.id),
   )
   const counts = countJobs(input.jobs)
   const count = (vm: VmRow) => counts.get(vm.id) ?? 0
-  ready.sort((a, b) => count(a) - count(b) || (a.id < b.id ? -1 : 1))
-  const next = ready[0]
+  candidates.sort((a, b) => count(a) - count(b) || (a.id < b.id ? -1 : 1))
+  const next = candidates[0]
   if (!next) return hold('no VM of the pool is free for it')
-  const comes = input.vms.some((vm) => vm.operation?.toPool === line.pool)
-  if (comes && count(next) > 0) return hold('a VM is on its way to the pool')
-  const reason = `${left.length} of ${inPool.length} VMs left, ${count(next)} jobs on this one`
+  const isVmArriving = input.vms.some((vm) => vm.operation?.toPool === line.pool)
+  if (isVmArriving && count(next) > 0) return hold('a VM is on its way to the pool')
+  const reason = `${remaining.length} of ${inPool.length} VMs left, ${count(next)} jobs on this one`
   return { kind: 'start', wave, vm: next.id, reason }
 }
 
--- a/src/table/__tests__/store.spec.ts
+++ b/src/table/__tests__/store.spec.ts
@@ -15,7 +15,7 @@
 ]
 
 /** A platform that runs a step before the first call that matches. */
-function before(
+function runBeforeAccept(
   platform: Platform,
   call: 'transact',
   step: () => Promise<unknown>,
@@ -55,7 +55,7 @@
     it('merges with an accept that wins the race', async (t) => {
       const { store, platform } = await setUp(t)
       const racing = createTableStore(
-        before(platform, 'transact', async () => {
+        runBeforeAccept(platform, 'transact', async () => {
           await store.edit('bo', pool('q', '2'))
           await store.accept('bo')
         }),
@@ -69,7 +69,7 @@
     it('names both editors when the race touched the same cell', async (t) => {
       const { store, platform } = await setUp(t)
       const racing = createTableStore(
-        before(platform, 'transact', async () => {
+        runBeforeAccept(platform, 'transact', async () => {
           await store.edit('bo', pool('p', '2'))
           await store.accept('bo')
         }),
@@ -88,21 +88,28 @@
   describe('lost replies', () => {
     it('finds out that an accept took effect', async (t) => {
       const { store, platform, standIn } = await setUp(t)
-      const losing = createTableStore(
-        before(platform, 'transact', async () => (standIn.faults.loseReplies = 1)),
+      const losingReply = createTableStore(
+        runBeforeAccept(
+          platform,
+          'transact',
+          async () => (standIn.faults.loseReplies = 1),
+        ),
       )
-      await losing.edit('ana', pool('p', '1'))
-      t.like((await losing.accept('ana'))._unsafeUnwrap(), { kind: 'accepted', epoch: 1 })
+      await losingReply.edit('ana', pool('p', '1'))
+      t.like((await losingReply.accept('ana'))._unsafeUnwrap(), {
+        kind: 'accepted',
+        epoch: 1,
+      })
       t.is((await store.history(9))._unsafeUnwrap().length, 1)
     })
 
     it('says unknown in an outage, and the accept id tells later', async (t) => {
       const { store, platform, standIn } = await setUp(t)
-      const cut = createTableStore(
-        before(platform, 'transact', async () => (standIn.faults.outage = true)),
+      const failing = createTableStore(
+        runBeforeAccept(platform, 'transact', async () => (standIn.faults.outage = true)),
       )
-      await cut.edit('ana', pool('p', '1'))
-      const outcome = (await cut.accept('ana'))._unsafeUnwrap()
+      await failing.edit('ana', pool('p', '1'))
+      const outcome = (await failing.accept('ana'))._unsafeUnwrap()
       if (outcome.kind !== 'unknown') return t.fail(outcome.kind)
       standIn.faults.outage = false
       t.is((await store.findAccept(outcome.acceptId))._unsafeUnwrap(), undefined)
--- a/src/table/csv.ts
+++ b/src/table/csv.ts
@@ -27,34 +27,35 @@
   try {
     records = parse(text, { bom: true, skip_empty_lines: true, trim: true })
   } catch (cause) {
-    return refuse(describeError(cause))
+    return importError(describeError(cause))
   }
   const [heading, ...lines] = records
-  if (!heading) return refuse('the sheet is empty; a heading is required')
+  if (!heading) return importError('the sheet is empty; a heading is required')
   const unknown = heading.filter(
     (each) => ![...KEY_COLUMNS, ...allColumns()].includes(each),
   )
-  if (unknown.length > 0) return refuse(`line 1: unknown column '${unknown[0]}'`)
+  if (unknown.length > 0) return importError(`line 1: unknown column '${unknown[0]}'`)
   const missing = KEY_COLUMNS.find((each) => !heading.includes(each))
-  if (missing) return refuse(`line 1: column '${missing}' is missing`)
+  if (missing) return importError(`line 1: column '${missing}' is missing`)
   if (new Set(heading).size < heading.length)
-    return refuse('line 1: a column stands twice')
+    return importError('line 1: a column stands twice')
 
   const table: RawTable = {}
   for (const [index, line] of lines.entries()) {
     const cells = Object.fromEntries(heading.map((column, i) => [column, line[i] ?? '']))
     const row = `${cells['kind']}/${cells['name']}`
-    const at = `line ${index + 2}`
-    if (!splitRow(row)) return refuse(`${at}: '${row}' is no pool, service or wave`)
-    if (table[row]) return refuse(`${at}: '${row}' stands twice`)
-    const filled = Object.entries(cells).filter(
+    const position = `line ${index + 2}`
+    if (!splitRow(row))
+      return importError(`${position}: '${row}' is no pool, service or wave`)
+    if (table[row]) return importError(`${position}: '${row}' stands twice`)
+    const filledCells = Object.entries(cells).filter(
       ([column, value]) => !KEY_COLUMNS.includes(column) && value !== '',
     )
-    table[row] = Object.fromEntries(filled)
+    table[row] = Object.fromEntries(filledCells)
   }
   return ok(table)
 }
 
-function refuse(reason: string): Result<never, TableError> {
+function importError(reason: string): Result<never, TableError> {
   return err(new TableError(reason, { props: { step: 'table.import' } }))
 }
--- a/src/table/merge.ts
+++ b/src/table/merge.ts
@@ -57,20 +57,24 @@
 /**
  * Lays a draft over the head.
  * @param edits the draft's edits, made against its base.
- * @param since what others accepted after that base, oldest first.
+ * @param acceptedSinceBase what others accepted after that base, oldest first.
  */
 export function mergeDraft(
   head: RawTable,
   edits: readonly CellEdit[],
-  since: readonly CellEdit[],
+  acceptedSinceBase: readonly CellEdit[],
 ): MergeResult {
   const conflicts: CellConflict[] = []
   for (const edit of edits) {
-    const other = since.findLast((each) => touchesSameCell(each, edit))
-    if (!other || (other.value === edit.value && other.column === edit.column)) continue
+    const latestOther = acceptedSinceBase.findLast((each) => touchesSameCell(each, edit))
+    if (
+      !latestOther ||
+      (latestOther.value === edit.value && latestOther.column === edit.column)
+    )
+      continue
     const { row, column } = edit
     const mine = { editor: edit.editor, value: edit.value }
-    const theirs = { editor: other.editor, value: other.value }
+    const theirs = { editor: latestOther.editor, value: latestOther.value }
     conflicts.push({ row, column, mine, theirs })
   }
   return { merged: applyEdits(head, edits), conflicts }
--- a/src/table/schema.ts
+++ b/src/table/schema.ts
@@ -17,7 +17,7 @@
 const MAX_LIMIT = 1_000_000
 const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/
 
-const number = (min: number, max: number) => {
+const numberInRange = (min: number, max: number) => {
   const rule = `a number from ${min} to ${max}`
   return z
     .string()
@@ -27,7 +27,7 @@
     )
     .transform(Number)
 }
-const whole = (min: number, max: number) => {
+const wholeNumberInRange = (min: number, max: number) => {
   const rule = `a whole number from ${min} to ${max}`
   return z
     .string()
@@ -44,39 +44,39 @@
 
 const poolSchema = z.strictObject({
   /** Share of the VMs when they are scarce. */
-  weight: number(0, MAX_WEIGHT),
+  weight: numberInRange(0, MAX_WEIGHT),
   /** The most VMs that it may have in a hall. */
-  limit: whole(0, MAX_LIMIT),
+  limit: wholeNumberInRange(0, MAX_LIMIT),
 })
 
 const serviceSchema = z.strictObject({
   /** Share of the dispatch turns. */
-  weight: number(0, MAX_WEIGHT),
+  weight: numberInRange(0, MAX_WEIGHT),
   /** The most requests in flight over all entries. */
-  limit: whole(0, MAX_LIMIT),
+  limit: wholeNumberInRange(0, MAX_LIMIT),
   /** Pool whose VMs run it. */
   pool: name(),
   /** Team that owns it. */
   team: name().prefault('default'),
   /** Instances in each hall. */
-  instances: whole(0, 10_000).prefault('1'),
+  instances: wholeNumberInRange(0, 10_000).prefault('1'),
   /** Requests that one instance serves at a time. */
-  slots: whole(1, 10_000).prefault('8'),
+  slots: wholeNumberInRange(1, 10_000).prefault('8'),
   /** Declared processors of an instance. */
-  cpus: number(0, 1024).prefault('2'),
+  cpus: numberInRange(0, 1024).prefault('2'),
   /** Declared memory of an instance, in GB. */
-  memory_gb: number(0, 65_536).prefault('4'),
+  memory_gb: numberInRange(0, 65_536).prefault('4'),
   /** The most instances that may be away at once, over all halls, by our doing. */
-  budget: whole(0, 10_000).prefault('1'),
+  budget: wholeNumberInRange(0, 10_000).prefault('1'),
   /** Which requests go first when there are too many. */
   priority: oneOf(['urgent', 'normal', 'deferrable']).prefault('normal'),
 })
 
 const waveSchema = z.strictObject({
   /** Order against other waves; the highest goes first. */
-  weight: number(0, MAX_WEIGHT),
+  weight: numberInRange(0, MAX_WEIGHT),
   /** The most VMs of a hall away at once. */
-  limit: whole(0, MAX_LIMIT),
+  limit: wholeNumberInRange(0, MAX_LIMIT),
   /** Pool whose VMs are maintained. */
   pool: name(),
   /** What the wave may do. */
@@ -160,8 +160,8 @@
     return
   }
   const lines = { pool: table.pools, service: table.services, wave: table.waves }
-  const target = lines[parts.kind] as Map<string, unknown>
-  target.set(parts.name, checked.data)
+  const linesOfKind = lines[parts.kind] as Map<string, unknown>
+  linesOfKind.set(parts.name, checked.data)
 }
 
 function describe(
--- a/src/table/store.ts
+++ b/src/table/store.ts
@@ -25,9 +25,9 @@
 import type { CellError, RawTable } from './schema.js'
 
 /** Times that an accept is merged again after it lost a race. */
-const ACCEPT_ROUNDS = 8
+const MAX_ACCEPT_ATTEMPTS = 8
 /** Most accepted tables that one call reads back. */
-const HISTORY_BATCH = 50
+const TABLES_PER_READ = 50
 
 type StoreError = PlatformError | TableError
 type StoreResult<T> = Promise<Result<T, StoreError>>
@@ -94,8 +94,8 @@
 
   async function readTables(from: number, to: number): StoreResult<AcceptedTable[]> {
     const tables: AcceptedTable[] = []
-    for (let start = from; start <= to; start += HISTORY_BATCH) {
-      const last = Math.min(to, start + HISTORY_BATCH - 1)
+    for (let start = from; start <= to; start += TABLES_PER_READ) {
+      const last = Math.min(to, start + TABLES_PER_READ - 1)
       const keys = Array.from({ length: last - start + 1 }, (_, i) => tableKey(start + i))
       const rows = await platform.read(keys)
       if (rows.isErr()) return err(rows.error)
@@ -133,7 +133,7 @@
     return err(new TableError(reason, { props }))
   }
 
-  async function acceptOnce(editor: string): StoreResult<AcceptOutcome | 'again'> {
+  async function tryAccept(editor: string): StoreResult<AcceptOutcome | 'again'> {
     const view = await readDraft(editor)
     if (view.isErr()) return err(view.error)
     const { draft, version } = view.value
@@ -141,10 +141,14 @@
     const headRow = await readHead()
     if (headRow.isErr()) return err(headRow.error)
     const head = headRow.value?.table
-    const since = await readTables(draft.base + 1, head?.epoch ?? 0)
-    if (since.isErr()) return err(since.error)
-    const others = since.value.flatMap((each) => each.changes)
-    const { merged, conflicts } = mergeDraft(head?.raw ?? {}, draft.edits, others)
+    const acceptedSinceBase = await readTables(draft.base + 1, head?.epoch ?? 0)
+    if (acceptedSinceBase.isErr()) return err(acceptedSinceBase.error)
+    const concurrentEdits = acceptedSinceBase.value.flatMap((each) => each.changes)
+    const { merged, conflicts } = mergeDraft(
+      head?.raw ?? {},
+      draft.edits,
+      concurrentEdits,
+    )
     const checked = checkTable(merged)
     if (conflicts.length > 0 || checked.isErr()) {
       const errors = checked.isErr() ? checked.error : []
@@ -156,14 +160,18 @@
       return discarded.map(() => ({ kind: 'nothing' as const }))
     }
     const acceptId = newOpId('accept')
-    const marked = await writeDraft(editor, { ...draft, accepting: acceptId }, version)
-    if (marked.isErr()) return err(marked.error)
+    const markedDraft = await writeDraft(
+      editor,
+      { ...draft, accepting: acceptId },
+      version,
+    )
+    if (markedDraft.isErr()) return err(markedDraft.error)
     const accepted = nextTable(head, merged, changes, editor, acceptId)
     const headVersion = headRow.value?.row.version ?? 0
-    return settle(accepted, headVersion, editor, version + 1)
+    return commitAccept(accepted, headVersion, editor, version + 1)
   }
 
-  async function settle(
+  async function commitAccept(
     table: AcceptedTable,
     headVersion: number,
     editor: string,
@@ -220,8 +228,8 @@
       return writeDraft(editor, null, view.value.version)
     },
     async accept(editor) {
-      for (let round = 0; round < ACCEPT_ROUNDS; round++) {
-        const outcome = await acceptOnce(editor)
+      for (let attempt = 0; attempt < MAX_ACCEPT_ATTEMPTS; attempt++) {
+        const outcome = await tryAccept(editor)
         if (outcome.isErr()) return err(outcome.error)
         if (outcome.value !== 'again') return ok(outcome.value)
       }
