--- a/src/keeper/__tests__/lease.spec.ts
+++ b/src/keeper/__tests__/lease.spec.ts
@@ -27,7 +27,7 @@
 const write = (key: string) => ({ key, version: 0, value: 1 })
 
 describe('createLease', () => {
-  it('lets one of two keepers hold it, and gives it on at a planned stop', async (t) => {
+  it('is held by one of two keepers and passes to the other at a planned stop', async (t) => {
     const { keeper } = await setUp(t)
     const a = keeper('a')
     await until(() => a.fence() !== undefined)
@@ -42,11 +42,11 @@
 
   it('refuses the write of a keeper that was paused past its lease', async (t) => {
     const { platform, keeper } = await setUp(t)
-    // Its clock stands still, so it goes on believing that it holds the lease.
+    // A stopped clock makes the keeper consider the lease held.
     const a = keeper('a', () => 0)
     await until(() => a.fence() !== undefined)
     const fence = a.fence()!
-    // Written as a successor would, again until it falls between two renewals.
+    // Takes the lease as a successor would, until a try falls between two renewals.
     for (let taken = false; !taken;) {
       const row = (await platform.read(['leases/h']))._unsafeUnwrap().get('leases/h')!
       const value = { holder: 'b', fence: fence + 1, ttlMs: 300, renewedAt: '' }
@@ -63,7 +63,7 @@
     await a.stop()
   })
 
-  it('is lost by its own clock in an outage, and taken by another after it', async (t) => {
+  it('expires on the clock of its holder in an outage and can be taken afterwards', async (t) => {
     const { standIn, keeper } = await setUp(t)
     const a = keeper('a')
     await until(() => a.fence() !== undefined)
--- a/src/keeper/__tests__/planning.spec.ts
+++ b/src/keeper/__tests__/planning.spec.ts
@@ -49,13 +49,13 @@
   return { id: 'o', kind, fromIncarnation: 'x', services: [] }
 }
 
-describe('shareOut', () => {
+describe('allocateByWeight', () => {
   const pools = fc.dictionary(
     fc.constantFrom('a', 'b', 'c', 'd'),
     fc.record({ demand: fc.nat(8), weight: fc.integer({ min: 1, max: 5 }) }),
   )
 
-  it('gives all that is wanted, or all there is, and to no pool more than it wants', (t) => {
+  it('allocates the whole demand or all VMs, and no pool gets more than its demand', (t) => {
     fc.assert(
       fc.property(pools, fc.nat(30), (given, available) => {
         const demand = new Map(Object.entries(given).map(([k, v]) => [k, v.demand]))
@@ -69,7 +69,7 @@
     )
   })
 
-  it('shares by weight when VMs are scarce', (t) => {
+  it('allocates by weight when VMs are scarce', (t) => {
     const demand = new Map([
       ['a', 10],
       ['b', 10],
@@ -91,7 +91,7 @@
 describe('planPools', () => {
   const reserve = (id: string) => vm(id, { pool: 'reserve' })
 
-  it('takes VMs from the reserve first, and moves nothing that stands well', (t) => {
+  it('takes VMs from the reserve first and moves none from a pool at its share', (t) => {
     const moves = planPools(table(), [vm('a'), reserve('b'), reserve('c')], () => 0)
     t.deepEqual(
       moves.map((move) => `${move.vm}>${move.to}`),
@@ -103,7 +103,7 @@
     )
   })
 
-  it('gives up what no pool needs to the reserve, the emptiest VM first', (t) => {
+  it('moves surplus VMs to the reserve, the one with the fewest jobs first', (t) => {
     const count = (id: string) => (id === 'b' ? 0 : 1)
     const moves = planPools(table(), [vm('a'), vm('b'), vm('c')], count)
     t.deepEqual(
@@ -129,7 +129,7 @@
     )
   })
 
-  it('plans each VM at most once, and comes to rest', (t) => {
+  it('moves each VM at most once, and plans no more moves once these are made', (t) => {
     const pools = fc.constantFrom('p', 'q', 'reserve')
     const vms = fc
       .array(pools, { maxLength: 12 })
@@ -159,7 +159,7 @@
 })
 
 describe('planJobs', () => {
-  it('spreads instances over VMs and says why nothing fits', (t) => {
+  it('spreads instances over VMs and reports why one does not fit', (t) => {
     const starts = planJobs({ table: table(2), vms: [vm('a'), vm('b')], jobs: [] })
     t.deepEqual(
       starts.map((each) => each.kind === 'start' && each.vm),
@@ -172,7 +172,7 @@
     })
   })
 
-  it('starts a replacement before it stops an instance on a VM that is emptied', (t) => {
+  it('starts a replacement before it stops an instance on an evacuating VM', (t) => {
     const evacuatingVm = vm('a', {
       state: 'evacuating',
       operation: operation('maintain'),
@@ -187,7 +187,7 @@
     t.like(planJobs({ table: table(2), vms, jobs })[0], { kind: 'stop', job: '1' })
   })
 
-  it('stops dead instances at once', (t) => {
+  it('stops an instance of an earlier incarnation of its VM at once', (t) => {
     const restarted = vm('a', { incarnation: 'a.2' })
     const decisions = planJobs({
       table: table(1),
@@ -200,7 +200,7 @@
     )
   })
 
-  it('spreads a crowded VM one instance at a time, but not during a wave', (t) => {
+  it('rebalances one instance at a time, but not during a wave', (t) => {
     const jobs = [job('1', 'a'), job('2', 'a')]
     const input = { table: table(2), vms: [vm('a'), vm('b')], jobs }
     t.like(planJobs(input)[0], { kind: 'start', vm: 'b' })
@@ -211,7 +211,7 @@
     t.like(planJobs({ ...input, jobs: moved })[0], { kind: 'stop', job: '2' })
   })
 
-  it('never overfills a VM nor leaves too few serving, from any state', (t) => {
+  it('never overfills a VM nor leaves too few instances serving, from any state', (t) => {
     const states = fc.constantFrom(
       'active',
       'evacuating',
@@ -248,7 +248,10 @@
         }
         const before = jobs.filter(serves).length
         const after = jobs.filter((each) => serves(each) && !stopped.has(each.id)).length
-        t.true(after >= Math.min(before, instances), 'stopped below what is asked for')
+        t.true(
+          after >= Math.min(before, instances),
+          'fewer instances serve than requested',
+        )
         for (const each of decisions) {
           if (each.kind !== 'start') continue
           const on = vms.find((one) => one.id === each.vm)!
@@ -294,7 +297,7 @@
     t.like(planWaves(input())[0], { kind: 'start', vm: 'b' })
   })
 
-  it('keeps within its limit, halts, finishes, and waits for a VM on its way', (t) => {
+  it('holds at its limit, when halted and for an arriving VM, and finishes', (t) => {
     t.like(planWaves(input({ waves: waveRow({ doing: ['b'] }) }))[0], { kind: 'hold' })
     t.like(planWaves(input({ waves: waveRow({ halted: 'b is lost' }) }))[0], {
       kind: 'hold',
@@ -321,7 +324,7 @@
   const out = (hall: string): Map<string, BudgetRow> =>
     new Map([['s', { out: [{ hall, vm: 'x', operation: 'o', count: 1 }] }]])
 
-  it('allows what the budget has, counting all halls', (t) => {
+  it('allows instances up to the budget, counting all halls', (t) => {
     t.is(budgetShortage({ ...base, jobs: both, budgets: new Map() }, ['s']), undefined)
     t.regex(
       budgetShortage({ ...base, jobs: both, budgets: out('other') }, ['s'])!,
@@ -333,7 +336,7 @@
     )
   })
 
-  it('counts unplanned losses, but not twice what it took out itself', (t) => {
+  it('counts unplanned losses, but not again those charged by its own hall', (t) => {
     const one = [job('1', 'a')]
     t.regex(
       budgetShortage({ ...base, jobs: one, budgets: new Map() }, ['s'])!,
--- a/src/table/__tests__/store.spec.ts
+++ b/src/table/__tests__/store.spec.ts
@@ -14,7 +14,7 @@
   { row: `pool/${name}`, column: 'limit', value: limit },
 ]
 
-/** A platform that runs a step before the first call that matches. */
+/** Wraps a platform so that a step runs before the first transaction of an accept. */
 function runBeforeAccept(
   platform: Platform,
   call: 'transact',
@@ -35,7 +35,7 @@
 
 describe('TableStore', () => {
   describe('accept', () => {
-    it('moves the head by one and drops the draft', async (t) => {
+    it('advances the head by one epoch and deletes the draft', async (t) => {
       const { store, standIn } = await setUp(t)
       await store.edit('ana', pool('p', '1'))
       t.like((await store.accept('ana'))._unsafeUnwrap(), { kind: 'accepted', epoch: 1 })
@@ -43,7 +43,7 @@
       t.is(standIn.row('drafts/ana'), undefined)
     })
 
-    it('refuses wrong cells and changes nothing', async (t) => {
+    it('refuses invalid cells and changes nothing', async (t) => {
       const { store, standIn } = await setUp(t)
       await store.edit('ana', pool('p', 'heavy'))
       const outcome = (await store.accept('ana'))._unsafeUnwrap()
@@ -52,7 +52,7 @@
       t.not(standIn.row('drafts/ana'), undefined)
     })
 
-    it('merges with an accept that wins the race', async (t) => {
+    it('merges with a concurrent accept that commits first', async (t) => {
       const { store, platform } = await setUp(t)
       const racing = createTableStore(
         runBeforeAccept(platform, 'transact', async () => {
@@ -66,7 +66,7 @@
       t.deepEqual(Object.keys(head?.raw ?? {}).sort(), ['pool/p', 'pool/q'])
     })
 
-    it('names both editors when the race touched the same cell', async (t) => {
+    it('names both editors when a concurrent accept changed the same cell', async (t) => {
       const { store, platform } = await setUp(t)
       const racing = createTableStore(
         runBeforeAccept(platform, 'transact', async () => {
@@ -86,7 +86,7 @@
   })
 
   describe('lost replies', () => {
-    it('finds out that an accept took effect', async (t) => {
+    it('do not make an accept fail or take effect twice', async (t) => {
       const { store, platform, standIn } = await setUp(t)
       const losingReply = createTableStore(
         runBeforeAccept(
@@ -103,7 +103,7 @@
       t.is((await store.history(9))._unsafeUnwrap().length, 1)
     })
 
-    it('says unknown in an outage, and the accept id tells later', async (t) => {
+    it('make the outcome unknown in an outage, and the accept id shows it later', async (t) => {
       const { store, platform, standIn } = await setUp(t)
       const failing = createTableStore(
         runBeforeAccept(platform, 'transact', async () => (standIn.faults.outage = true)),
--- a/src/table/__tests__/table.spec.ts
+++ b/src/table/__tests__/table.spec.ts
@@ -38,7 +38,7 @@
     t.like(table.services.get('s'), { instances: 1, slots: 8, priority: 'normal' })
   })
 
-  it('lists every wrong cell with row, column, value and rule', (t) => {
+  it('lists every invalid cell with row, column, value and rule', (t) => {
     const raw: RawTable = {
       ...GOOD,
       'pool/p': { weight: '-1', limit: '4.5' },
@@ -56,7 +56,7 @@
     for (const { rule } of errors) t.not(rule, '')
   })
 
-  it('finds references to pools that are not there', (t) => {
+  it('rejects references to unknown pools', (t) => {
     const raw = { ...GOOD, 'wave/w': { weight: '1', limit: '1', pool: 'q' } }
     t.like(checkTable(raw)._unsafeUnwrapErr()[0], {
       row: 'wave/w',
@@ -93,7 +93,7 @@
     ])
   })
 
-  it('takes equal edits and edits of other cells without conflict', (t) => {
+  it('accepts equal edits and edits of other cells without conflict', (t) => {
     const theirs = [
       edit('pool/p', 'limit', '6', 'bo'),
       edit('pool/p', 'weight', '2', 'bo'),
@@ -108,20 +108,20 @@
     t.is(merged['wave/w']?.['limit'], '2')
   })
 
-  it('sees a removed line as a conflict with an edit of it', (t) => {
+  it('reports a conflict between the removal of a line and an edit of it', (t) => {
     const theirs = [edit('wave/w', '*', null, 'bo')]
     const mine = [edit('wave/w', 'limit', '2', 'ana')]
     t.is(mergeDraft(applyEdits(GOOD, theirs), mine, theirs).conflicts.length, 1)
   })
 
-  it('loses no edit: each one is in the result or is a conflict (against a naive merge)', (t) => {
+  it('loses no edit: without conflicts the result equals both naive merges', (t) => {
     fc.assert(
       fc.property(rawTable, rawTable, rawTable, (base, ours, others) => {
         const mine = diffTables(base, ours, 'ana')
         const theirs = diffTables(base, others, 'bo')
         const { merged, conflicts } = mergeDraft(others, mine, theirs)
         if (conflicts.length > 0) return
-        // Naive: our edits again on theirs, one by one; and theirs on ours.
+        // The naive merges apply our edits to their table, and their edits to ours.
         t.deepEqual(merged, applyEdits(others, mine))
         t.deepEqual(merged, applyEdits(ours, theirs))
       }),
@@ -140,7 +140,7 @@
 })
 
 describe('CSV', () => {
-  it('reads back what it wrote', (t) => {
+  it('imports what it exported', (t) => {
     fc.assert(
       fc.property(rawTable, (raw) => {
         t.deepEqual(importCsv(exportCsv(raw))._unsafeUnwrap(), raw)
@@ -153,12 +153,12 @@
     ['an unknown column', 'kind,name,colour\n', /line 1: unknown column 'colour'/],
     ['a missing column', 'kind,weight\n', /line 1: column 'name' is missing/],
     [
-      'a doubled line',
+      'a duplicate line',
       'kind,name,weight\npool,a,1\npool,a,2\n',
       /line 3: 'pool\/a' stands twice/,
     ],
     ['an unknown kind', 'kind,name\nhost,a\n', /line 2: 'host\/a'/],
-    ['a ragged line', 'kind,name\npool\n', /Record Length/],
+    ['a line with missing cells', 'kind,name\npool\n', /Record Length/],
   ]
   for (const [what, text, expected] of bad) {
     it(`refuses ${what}, naming the place`, (t) => {
@@ -180,7 +180,7 @@
     return { epoch, acceptId: `a${epoch}`, hash, editor: 'ana', at: '', raw, changes: [] }
   }
 
-  it('never goes back, in whatever order tables are offered', (t) => {
+  it('never returns to an older epoch, in whatever order tables are offered', (t) => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 9 })), (epochs) => {
         const holder = createTableHolder(createMemoryLogger())
@@ -194,7 +194,7 @@
     )
   })
 
-  it('refuses a table whose hash or cells are wrong, and keeps the one in force', (t) => {
+  it('refuses a table with a wrong hash or invalid cells, and keeps the one in force', (t) => {
     const log = createMemoryLogger()
     const holder = createTableHolder(log)
     holder.offer(accepted(1), 'platform')
