--- a/src/keeper/acks.ts
+++ b/src/keeper/acks.ts
@@ -1,17 +1,18 @@
 /**
- * Whether the entries of the hall know of a change, and have no request left there.
- * An entry that cannot be asked counts as not knowing, unless it is certainly gone.
+ * Checks whether the entries of the hall have applied a change and have no requests left
+ * at the VM or job that it stops. An entry that does not answer counts as pending, unless
+ * the platform no longer lists it as live.
  */
 import type { PeerNetwork, NodeReport } from '../peer/index.js'
 
-/** A report older than this proves nothing, in ms. */
+/** Silence after which the last report of an entry no longer counts, in ms. */
 const MAX_REPORT_AGE_MS = 3000
 
-/** Asks the entries of the own hall. */
+/** Acknowledgements of the entries of the own hall. */
 export interface EntryAcks {
   /**
-   * Undefined when every entry has applied the revision and counts no request by
-   * `inFlight`; otherwise who is waited for, and why.
+   * Names the first entry that is waited for, and why. Undefined once every entry has
+   * applied the revision and `inFlight` gives 0 for its report.
    */
   pendingReason(
     revision: number,
@@ -23,11 +24,14 @@
 export interface EntryAcksOptions {
   peers: PeerNetwork
   hall: string
-  /** Whether the entry VM is off the platform's list. */
+  /** Whether the platform no longer lists the entry VM as live. */
   isGone: (entry: string) => boolean
 }
 
-/** Creates the check over the reports of the peers and, with a hosted keeper, the own one. */
+/**
+ * Creates the check over the reports of the peers. If this process hosts the keeper and
+ * routes requests too, its own report is checked as well.
+ */
 export function createEntryAcks(opts: EntryAcksOptions): EntryAcks {
   const { peers, hall, isGone } = opts
   return {
@@ -57,22 +61,28 @@
   revision: number,
   inFlight: (report: NodeReport) => number,
 ): string | undefined {
-  if (Number(report.revision) < revision) return 'has not seen the change yet'
+  if (Number(report.revision) < revision) return 'has not applied the change yet'
   const requests = inFlight(report)
-  return requests > 0 ? `still has ${requests} requests there` : undefined
+  return requests > 0 ? `still has ${requests} requests in flight there` : undefined
 }
 
-/** Requests of the report's process on a VM that is leaving. */
+/**
+ * Requests that the reporting process has in flight on a leaving VM; 1 if the report
+ * predates the change, so that the caller waits.
+ */
 export function inFlightOnVm(vm: string, generation: number) {
   return (report: NodeReport): number => {
     const leavingVm = report.leaving.find((each) => each.vm === vm)
-    // Not named, or named with an older generation: the report is of an older view.
+    // The report predates the change if the VM is missing or has an older generation.
     if (!leavingVm || leavingVm.generation < generation) return 1
     return leavingVm.inFlight
   }
 }
 
-/** Requests of the report's process at a job that is stopping. */
+/**
+ * Requests that the reporting process has in flight at a stopping job; 1 if the report
+ * does not name the job, so that the caller waits.
+ */
 export function inFlightAtJob(job: string) {
   return (report: NodeReport): number => {
     const stoppingJob = report.stopping.find((each) => each.job === job)
--- a/src/keeper/budgetWrites.ts
+++ b/src/keeper/budgetWrites.ts
@@ -1,10 +1,10 @@
-/** Writes that take instances out of their budgets and give them back. */
+/** Row writes that charge instances to the budgets of their services and release them. */
 import { budgetKey } from '../fleet/index.js'
 import type { BudgetRow, Operation, VmRow } from '../fleet/index.js'
 import type { RowWrite } from '../platform/index.js'
 import type { FleetState } from './fleetState.js'
 
-/** Takes the instances out of the budgets; every hall's holder writes the same rows. */
+/** Charges the instances to their budgets. Keepers of all halls write the same rows. */
 export function chargeBudgets(
   state: FleetState,
   vm: VmRow,
@@ -20,7 +20,7 @@
   })
 }
 
-/** Gives back what the operation has taken, in all services. */
+/** Releases the charges of the operation in the budgets of all services. */
 export function releaseBudgets(state: FleetState, operation: Operation): RowWrite[] {
   const writes: RowWrite[] = []
   for (const { key, version, value } of state.budgets.values()) {
--- a/src/keeper/budgets.ts
+++ b/src/keeper/budgets.ts
@@ -1,9 +1,9 @@
-/** How many instances of a service are away, and whether more may go. */
+/** Counts the unavailable instances of a service and checks its budget. */
 import { servesWork } from '../fleet/index.js'
 import type { BudgetRow, JobRow, VmRow } from '../fleet/index.js'
 import type { ServiceLine, Table } from '../table/index.js'
 
-/** What budgets are worked out from. */
+/** State from which the use of budgets is computed. */
 export interface BudgetInput {
   table: Table
   /** VMs and jobs of the own hall. */
@@ -15,7 +15,7 @@
 }
 
 /**
- * Why the budgets forbid taking these instances away; undefined when they allow it.
+ * Returns why the budgets forbid stopping these instances; undefined if they allow it.
  * @param services one entry per instance.
  */
 export function budgetShortage(
@@ -34,8 +34,8 @@
 }
 
 /**
- * Instances away now: those that any hall has taken out, and those of this hall that
- * are missing for another reason.
+ * Counts the unavailable instances: those that any hall has charged to the budget, and
+ * those of this hall that are missing for another reason.
  */
 export function unavailableInstances(
   input: BudgetInput,
--- a/src/keeper/context.ts
+++ b/src/keeper/context.ts
@@ -1,4 +1,4 @@
-/** What all tasks of a keeper share, and writing under the lease. */
+/** State shared by all tasks of a keeper, and conditional writes under its lease. */
 import { commit, newOpId } from '../platform/index.js'
 import type { Platform, RowWatch, RowWrite } from '../platform/index.js'
 import type { Logger, Metrics } from '../shared/index.js'
@@ -15,21 +15,21 @@
   acks: EntryAcks
   log: Logger
   metrics: Metrics
-  /** Fires when the keeper stops. */
+  /** Aborted when the keeper stops. */
   signal: AbortSignal
-  /** Time for a VM to come back from a reboot, in ms. */
+  /** Time after which a wave halts if a VM has not come back from its reboot, in ms. */
   rebootTimeoutMs: number
-  /** Time between two looks at something waited for, in ms. */
+  /** Interval between two checks of an awaited condition, in ms. */
   pollIntervalMs: number
-  /** The state as of now, or undefined when no table is in force. */
+  /** The latest known state, or undefined while no table is in force. */
   state(): FleetState | undefined
-  /** Services for which the last round found no room. */
+  /** Services with an instance that the last round could not place. */
   unplaced: Set<string>
 }
 
 /**
- * Applies writes under the fence.
- * @returns whether they took effect; when not, the next round plans anew.
+ * Commits writes on condition that the fencing token is still current.
+ * @returns whether the writes were committed. If not, the next round plans again.
  */
 export async function writeUnderLease(
   ctx: KeeperContext,
--- a/src/keeper/decisionLog.ts
+++ b/src/keeper/decisionLog.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the events of decisions in the platform's object store, so that `explain` can
- * tell what happened across keepers. Batches are small and written at most once a flush.
+ * Stores decision events in the platform's object store, so that `explain` can show the
+ * decisions of successive keepers. Each flush writes at most one small batch.
  */
 import { nanoid } from 'nanoid'
 import type { Platform } from '../platform/index.js'
@@ -8,15 +8,15 @@
 import type { EventFields, EventName, Logger } from '../shared/index.js'
 
 const FLUSH_INTERVAL_MS = 2000
-/** Events kept while the object store is away; older ones are dropped. */
+/** Events kept while the object store is unavailable; the oldest ones are dropped. */
 const MAX_PENDING_EVENTS = 2000
 
-/** Where a hall's batches are. */
+/** Prefix of the names of stored batches; the hall follows it. */
 export const DECISIONS_PREFIX = 'events/'
 
 /** One event as stored. */
 export interface StoredEvent {
-  /** Time of day at the keeper, for people only. */
+  /** Wall-clock time at the keeper, shown to operators only. */
   at: string
   event: string
   name: EventName
--- a/src/keeper/fleetState.ts
+++ b/src/keeper/fleetState.ts
@@ -1,4 +1,4 @@
-/** What the keeper of a hall sees at the start of a round, read from rows and the list. */
+/** State of a hall as its keeper reads it from rows and from the platform's lists. */
 import type { z } from 'zod'
 import {
   BUDGET_PREFIX,
@@ -17,7 +17,7 @@
 import type { Logger } from '../shared/index.js'
 import type { Table } from '../table/index.js'
 
-/** A typed row with what a conditional write needs. */
+/** A parsed row with the key and version that a conditional write needs. */
 export interface Versioned<T> {
   key: string
   version: number
@@ -31,21 +31,21 @@
   table: Table
   vms: Map<string, Versioned<VmRow>>
   jobs: Map<string, Versioned<JobRow>>
-  /** Waves of this hall, by wave. */
+  /** Waves of this hall, by name. */
   waves: Map<string, Versioned<WaveRow>>
   /** Budgets of all halls, by service. */
   budgets: Map<string, Versioned<BudgetRow>>
-  /** The platform's list, workers of this hall only. */
+  /** Worker VMs of this hall on the platform's list, by id. */
   listed: Map<string, ListedVm>
   tasks: Map<string, Task>
 }
 
-/** Prefixes of the rows that a keeper needs. */
+/** Prefixes of the rows that a keeper reads. */
 export function keeperPrefixes(hall: string): string[] {
   return [vmPrefix(hall), jobPrefix(hall), WAVE_PREFIX, BUDGET_PREFIX, hallKey(hall)]
 }
 
-/** Builds the state; rows of the wrong shape are left out and logged. */
+/** Builds the state. Rows that fail validation are logged and left out. */
 export function readFleetState(input: {
   hall: string
   table: Table
@@ -93,14 +93,13 @@
   }
 }
 
-/** Jobs on a VM. */
 export function jobsOn(state: FleetState, vm: string): JobRow[] {
   const jobs: JobRow[] = []
   for (const { value } of state.jobs.values()) if (value.vm === vm) jobs.push(value)
   return jobs
 }
 
-/** Services with an instance on the VM, once per instance. */
+/** Services of the table with an instance on the VM, once per instance. */
 export function servicesOn(state: FleetState, vm: string): string[] {
   return jobsOn(state, vm)
     .map((job) => job.service)
--- a/src/keeper/hallStatus.ts
+++ b/src/keeper/hallStatus.ts
@@ -1,6 +1,6 @@
 /**
- * The state of a hall for operators: which epoch is in force at each of its entries.
- * The row is written only when it changes, so its traffic does not grow with time.
+ * Publishes the status of a hall for operators: the epoch in force at each entry. The row
+ * is written only on a change, so that its traffic does not grow with time.
  */
 import { hallKey, hallRowSchema } from '../fleet/index.js'
 import type { HallRow } from '../fleet/index.js'
@@ -9,10 +9,10 @@
 import { writeUnderLease } from './context.js'
 import type { KeeperContext } from './context.js'
 
-/** An entry that was silent for so long is shown as not reached, in ms. */
+/** Silence after which an entry is shown as not reached, in ms. */
 const UNREACHED_AFTER_MS = 5000
 
-/** Writes the hall's row if it changed. */
+/** Writes the hall's status row if it has changed. */
 export async function publishHallStatus(
   ctx: KeeperContext,
   fence: number,
--- a/src/keeper/index.ts
+++ b/src/keeper/index.ts
@@ -1,4 +1,4 @@
-/** Decides pools, placements and waves of a hall, under its lease. */
+/** Plans the pools, job placements and waves of a hall, under its lease. */
 export * from './decisionLog.js'
 export { keeperPrefixes, readFleetState } from './fleetState.js'
 export * from './keeper.js'
--- a/src/keeper/jobs.ts
+++ b/src/keeper/jobs.ts
@@ -1,4 +1,4 @@
-/** Tasks that bring one job up or down, each written straight down. */
+/** Starts and stops jobs. One task takes a job through all steps of its start or stop. */
 import { jobKey } from '../fleet/index.js'
 import type { JobRow } from '../fleet/index.js'
 import { sleep } from '../shared/index.js'
@@ -8,7 +8,7 @@
 import type { FleetState } from './fleetState.js'
 import type { JobDecision } from './placement.js'
 
-/** Writes the rows of new jobs; their tasks are started by {@link runJob}. */
+/** Writes the rows of new jobs; {@link runJob} starts their tasks. */
 export async function writeStarts(
   ctx: KeeperContext,
   fence: number,
@@ -34,7 +34,7 @@
   }
 }
 
-/** Marks jobs as stopping; {@link runJob} then drains and stops them. */
+/** Marks jobs as stopping; {@link runJob} drains and stops them. */
 export async function writeStops(
   ctx: KeeperContext,
   fence: number,
@@ -50,7 +50,11 @@
   if (writes.length > 0) await writeUnderLease(ctx, fence, 'stopJobs', writes)
 }
 
-/** Carries a job that is starting or stopping to its end. */
+/**
+ * Completes the start or stop of a job.
+ * @returns `failed` if the job did not start; `interrupted` if the lease was lost or a
+ * step could not be completed, in which case a later round resumes it if still needed.
+ */
 export async function runJob(
   ctx: KeeperContext,
   fence: number,
--- a/src/keeper/keeper.ts
+++ b/src/keeper/keeper.ts
@@ -1,7 +1,7 @@
 /**
- * The keeper of a hall: rounds of decisions while the lease is held. A round registers
- * VMs, then decides pools, waves and jobs, and sees that one task carries each VM
- * operation and each job that is not at rest.
+ * The keeper of a hall: it runs rounds of decisions while it holds the lease. A round
+ * registers VMs, plans pools, waves and jobs, and ensures that one task carries out each
+ * VM operation and each start or stop of a job.
  */
 import { waveKey } from '../fleet/index.js'
 import type { ListedVm, Platform, RowWatch, Task } from '../platform/index.js'
@@ -31,7 +31,7 @@
 import { registerVms } from './registration.js'
 import { countJobs, maintainedVms, planWaves, poolsInWave, waveInput } from './waves.js'
 
-/** Pause after a failed start of a service's instance, in ms; it grows with each failure. */
+/** Backoff after a failed start of a service's instance; it doubles with each failure. */
 const START_BACKOFF_INITIAL_MS = 5000
 const START_BACKOFF_MAX_MS = 300_000
 
@@ -39,14 +39,14 @@
 export interface Keeper {
   /** Whether this process holds the lease now. */
   holdsLease(): boolean
-  /** Ends every task at its next step and gives up the lease. */
+  /** Stops every task at its next step and releases the lease. */
   stop(): Promise<void>
 }
 
 /** Options of {@link createKeeper}. */
 export interface KeeperOptions {
   hall: string
-  /** Unique per process and start. */
+  /** Id of this process, unique to each start of it. */
   holder: string
   platform: Platform
   rows: RowWatch
@@ -128,6 +128,7 @@
     resumePendingWork(fence)
   }
 
+  /** Runs a step on the latest state, unless the lease has been lost. */
   async function ifLeaseHeld(
     fence: number,
     step: (state: FleetState) => Promise<void>,
@@ -176,7 +177,7 @@
     log.event('waveDone', { wave, done: value.done.length })
   }
 
-  /** Logs why a wave does not go on, once per reason. */
+  /** Logs why a wave does not advance, when the reason changes. */
   function logHold(wave: string, reason: string): void {
     if (holdReasons.get(wave) === reason) return
     holdReasons.set(wave, reason)
@@ -211,7 +212,7 @@
     ctx.unplaced = names
   }
 
-  /** Sees that one task works on each VM operation and each job that is not at rest. */
+  /** Ensures that one task runs for each VM operation and each start or stop of a job. */
   function resumePendingWork(fence: number): void {
     const state = ctx.state()
     if (!state) return
@@ -241,6 +242,7 @@
     failedStarts.set(service, { count, until: monotonicMs() + pause })
   }
 
+  /** Starts a task, unless one of this name is running. */
   function runOnce(name: string, run: () => Promise<void>): void {
     if (pendingTasks.has(name)) return
     const task = run()
--- a/src/keeper/lease.ts
+++ b/src/keeper/lease.ts
@@ -1,8 +1,8 @@
 /**
- * The lease of a hall: at most one keeper decides for it. Expiry is judged without
- * comparing clocks: a standby takes the lease when its row has not changed for longer
- * than the term on the standby's own monotonic clock. The holder counts its term from
- * before the request that renewed it, and every write names the fence as a condition.
+ * The lease of a hall, which allows at most one keeper to decide for it. Expiry is
+ * judged without comparing clocks: a standby takes the lease when the row has not changed
+ * for longer than the term on its own monotonic clock. The holder counts the term from
+ * before it sends the renewal, and every write is conditional on the fencing token.
  */
 import { leaseKey, leaseRowSchema } from '../fleet/index.js'
 import type { LeaseRow } from '../fleet/index.js'
@@ -11,18 +11,17 @@
 import { createStopController, jittered, monotonicMs, sleep } from '../shared/index.js'
 import type { Logger, Metrics } from '../shared/index.js'
 
-/** Renewals per term. */
 const RENEWALS_PER_TERM = 3
-/** A standby waits this much longer than the term. */
+/** Terms without a renewal after which a standby takes the lease. */
 const TAKEOVER_WAIT_FACTOR = 1.25
 
-/** The lease as its keeper sees it. */
+/** A keeper's handle on the lease. */
 export interface Lease {
-  /** The fence while the lease is held and not near its end; undefined otherwise. */
+  /** The fencing token; undefined unless the lease is held and its term has not ended. */
   fence(): number | undefined
-  /** The condition that every write under the lease must carry. */
+  /** Condition that every write under the lease must carry. */
   guard(fence: number): RowGuard
-  /** Gives the lease up, so that a standby need not wait for its end. */
+  /** Releases the lease, so that a standby need not wait for it to expire. */
   stop(): Promise<void>
 }
 
@@ -30,7 +29,7 @@
 export interface LeaseOptions {
   platform: Platform
   hall: string
-  /** Unique per process and start. */
+  /** Id of the keeper's process, unique to each start of it. */
   holder: string
   /** Term in ms. */
   ttlMs: number
@@ -96,7 +95,7 @@
     )
   }
 
-  /** Whether the holder has been silent for longer than its term, as watched from here. */
+  /** Whether the row has stayed unchanged for as long as a standby must wait. */
   function hasExpired(row: Row, lease: LeaseRow): boolean {
     if (row.version !== lastChange.version) {
       lastChange = { version: row.version, at: now() }
--- a/src/keeper/operationStarts.ts
+++ b/src/keeper/operationStarts.ts
@@ -1,4 +1,4 @@
-/** How an operation on a VM begins: its row and the wave's are written together. */
+/** Starts operations on VMs. One transaction writes the rows of the VM and its wave. */
 import { waveKey } from '../fleet/index.js'
 import type { Operation, VmRow, WaveRow } from '../fleet/index.js'
 import { newOpId } from '../platform/index.js'
@@ -7,7 +7,7 @@
 import type { KeeperContext } from './context.js'
 import type { FleetState, Versioned } from './fleetState.js'
 
-/** Starts to move a VM to another pool. */
+/** Starts the move of a VM to another pool. */
 export function startMove(
   ctx: KeeperContext,
   fence: number,
@@ -21,7 +21,7 @@
   return writeUnderLease(ctx, fence, 'startMove', writes, operation.id)
 }
 
-/** Starts to maintain a VM as a step of a wave. */
+/** Starts the maintenance of a VM as a step of a wave. */
 export function startMaintenance(
   ctx: KeeperContext,
   fence: number,
@@ -49,7 +49,7 @@
   return { ...details, id, fromIncarnation: vm.incarnation, services: [] }
 }
 
-/** An empty row of a wave in a hall. */
+/** Initial row of a wave in a hall. */
 export function newWaveRow(wave: string, hall: string): WaveRow {
   return { wave, hall, done: [], doing: [], halted: '', finished: false }
 }
--- a/src/keeper/operations.ts
+++ b/src/keeper/operations.ts
@@ -1,6 +1,6 @@
 /**
- * Operations on one VM, each written straight down as one task. The VM's row holds the
- * operation until it is finished, so a successor that finds it goes on from there.
+ * Carries out operations on VMs, each one in a task from start to end. The VM's row holds
+ * the operation until it is finished, so that the next holder of the lease can resume it.
  */
 import type { Operation, VmRow, WaveRow } from '../fleet/index.js'
 import { newOpId } from '../platform/index.js'
@@ -15,7 +15,7 @@
 import { releaseBudgets, chargeBudgets } from './budgetWrites.js'
 import { waveInput } from './waves.js'
 
-/** Why an operation task ended without finishing; the next round starts it again. */
+/** Result of a step that was not finished; the next round resumes the operation. */
 const INTERRUPTED = Symbol('interrupted')
 type StepResult<T = void> = Promise<T | typeof INTERRUPTED>
 
@@ -26,7 +26,10 @@
   return { key, version, value: { ...value, state: 'leaving', generation, operation } }
 }
 
-/** Carries the VM's operation to its end. Returns when it is done or the lease is lost. */
+/**
+ * Runs the VM's operation to its end. Returns early if the lease is lost or a step cannot
+ * be finished.
+ */
 export async function runOperation(
   ctx: KeeperContext,
   fence: number,
@@ -50,7 +53,7 @@
   return state && vm ? { state, vm } : undefined
 }
 
-/** Waits until the condition gives undefined; logs what is waited for when it changes. */
+/** Waits until `pendingReason` returns undefined; logs the reason when it changes. */
 async function waitUntil(
   ctx: KeeperContext,
   fence: number,
@@ -69,8 +72,8 @@
 }
 
 /**
- * Waits until the jobs of the VM run elsewhere. What fits nowhere else is taken out of
- * its budget in the transaction that marks the VM as leaving.
+ * Waits until the jobs of the VM run elsewhere. Instances that fit nowhere else are
+ * charged to their budgets in the transaction that marks the VM as leaving.
  */
 async function evacuate(ctx: KeeperContext, fence: number, vmId: string): StepResult {
   for (;;) {
@@ -93,7 +96,7 @@
   }
 }
 
-/** Names a service on the VM that has room elsewhere but does not run there yet. */
+/** Names a service that still runs on the VM although it has room elsewhere. */
 function unmovedService(
   ctx: KeeperContext,
   state: FleetState,
@@ -103,12 +106,12 @@
   return waiting && `'${waiting.service}' still runs on it`
 }
 
-/** Why the budgets forbid taking away what is left on the VM. */
+/** Returns why the budgets forbid stopping the instances that are left on the VM. */
 function budgetReason(state: FleetState, vmId: string): string | undefined {
   return budgetShortage(waveInput(state), servicesOn(state, vmId))
 }
 
-/** Waits for the entries to leave the VM, then stops what is left on it. */
+/** Waits until no entry has requests on the VM, then stops the jobs left on it. */
 async function drainVm(ctx: KeeperContext, fence: number, vmId: string): StepResult {
   const found = findVm(ctx, vmId)
   if (!found || found.vm.value.state === 'away') return undefined
--- a/src/keeper/placement.ts
+++ b/src/keeper/placement.ts
@@ -1,6 +1,8 @@
 /**
- * Where the instances of services run. What stands well stays; a missing instance goes
- * to the VM of its pool with the fewest of its like, then the most room.
+ * Decides on which VMs the instances of services run. An instance stays where it is well
+ * placed. A missing one goes to the VM of its pool with the fewest instances of the
+ * service; among equals, VMs that a wave has maintained come first, then those with the
+ * most free processors.
  */
 import { nanoid } from 'nanoid'
 import { servesWork } from '../fleet/index.js'
@@ -16,31 +18,31 @@
       job: string
       service: string
       vm: string
-      /** VMs that were weighed. */
+      /** Number of VMs that had room for the instance. */
       from: number
       reason: string
     }
   | { kind: 'stop'; job: string; service: string; reason: string }
   | { kind: 'unplaced'; service: string; reason: string }
 
-/** What placement looks at. */
+/** Input of {@link planJobs}. */
 export interface PlacementInput {
   table: Table
   vms: readonly VmRow[]
   jobs: readonly JobRow[]
   /**
-   * VMs that a wave under way has maintained; they are preferred.
+   * VMs that a wave in progress has maintained; they are preferred.
    * @default none
    */
   maintained?: ReadonlySet<string>
   /**
-   * Pools that a wave goes through; nothing is spread anew there until it is over.
+   * Pools with a wave in progress; their instances are not rebalanced until it ends.
    * @default none
    */
   inWave?: ReadonlySet<string>
 }
 
-/** Free room of a VM. */
+/** Free capacity of a VM. */
 interface VmCapacity {
   vm: VmRow
   cpus: number
@@ -49,7 +51,7 @@
   counts: Map<string, number>
 }
 
-/** Decides what to start and stop, given the VMs and jobs of a hall. */
+/** Decides which jobs of a hall to start and stop. */
 export function planJobs(input: PlacementInput): JobDecision[] {
   const { table, vms, jobs } = input
   const capacities = computeCapacities(table, vms, jobs)
@@ -106,12 +108,12 @@
   return decisions
 }
 
-/** Whether an instance on this VM counts as one that stays. */
+/** Whether an instance of the service may stay on this VM. */
 function keepsInstances(vm: VmRow, line: ServiceLine): boolean {
   return vm.state === 'active' && vm.operation === undefined && vm.pool === line.pool
 }
 
-/** Whether a VM has two more instances than another that could take one. */
+/** Whether a VM has at least two more instances than another that has room for one. */
 function isUnevenlySpread(
   service: string,
   line: ServiceLine,
@@ -192,13 +194,13 @@
     )
     return { kind: 'unplaced', service, reason: shortage(line, inPool) }
   }
-  const reason = `${instanceCount(best, service)} of its like there, ${best.cpus} processors free`
+  const reason = `${instanceCount(best, service)} of its instances there, ${best.cpus} processors free`
   addInstance(best, service, line)
   const job = `${service}-${nanoid(8)}`
   return { kind: 'start', job, service, vm: best.vm.id, from: candidates.length, reason }
 }
 
-/** Which resource is short, for people. */
+/** Tells operators which resource is short. */
 function shortage(line: ServiceLine, inPool: readonly VmCapacity[]): string {
   if (inPool.length === 0) return `pool '${line.pool}' has no active VM`
   const cpus = Math.max(...inPool.map((capacity) => capacity.cpus))
@@ -215,15 +217,15 @@
 }
 
 /**
- * More instances than asked for: those on the most crowded VM go. One that is starting
- * beside enough running ones is a move under way, and stays.
+ * Stops instances above the configured number, first on the VM with the most of them. One
+ * instance that is starting although enough are running belongs to a move, and stays.
  */
 function surplusStops(
   service: string,
   line: ServiceLine,
   staying: readonly JobRow[],
 ): JobDecision[] {
-  const reason = `'${service}' asks for ${line.instances} instances`
+  const reason = `'${service}' needs ${line.instances} instances`
   const running = staying.filter((job) => job.state === 'running')
   const starting = staying.filter((job) => job.state === 'starting')
   const allowedStarts = Math.max(1, line.instances - running.length)
@@ -237,7 +239,7 @@
   return stops.map((job) => stopDecision(job, reason))
 }
 
-/** A job on the VM with the most of these jobs; the last such one. */
+/** Returns the last of the jobs whose VM has the most of them. */
 function jobOnFullestVm(jobs: readonly JobRow[]): JobRow {
   const counts = countJobs(jobs)
   const count = (job: JobRow) => counts.get(job.vm) ?? 0
@@ -245,8 +247,8 @@
 }
 
 /**
- * Instances that do not stand any more: dead ones go at once, those that still serve
- * as far as enough others serve.
+ * Stops instances that may not stay: dead ones at once, serving ones only while enough
+ * other instances serve.
  */
 function displacedStops(
   service: string,
@@ -266,7 +268,7 @@
   const running = staying.filter((job) => job.state === 'running').length
   const surplus = Math.max(0, running + serving.length - line.instances)
   return [
-    ...dead.map((job) => stopDecision(job, 'its VM does not serve any more')),
+    ...dead.map((job) => stopDecision(job, 'it does not run on a VM in service')),
     ...serving
       .slice(0, surplus)
       .map((job) => stopDecision(job, `'${service}' runs elsewhere`)),
--- a/src/keeper/pools.ts
+++ b/src/keeper/pools.ts
@@ -1,6 +1,6 @@
 /**
- * Which pool has which VMs of a hall. Every VM that stands well stays; pools give up
- * only what is above their share. VMs that no pool needs are in the reserve pool.
+ * Assigns the VMs of a hall to pools. A pool gives up only VMs above its share; all
+ * others stay. VMs that no pool needs are in the reserve pool.
  */
 import type { VmRow } from '../fleet/index.js'
 import { groupBy } from '../shared/index.js'
@@ -15,7 +15,7 @@
   reason: string
 }
 
-/** VMs that each pool of the hall needs, by the declared sizes of its services. */
+/** Number of VMs that each pool of the hall needs for its services, up to its limit. */
 export function poolDemand(table: Table, vm: { cpus: number; memoryGb: number }) {
   const services = groupBy(table.services.values(), (service) => service.pool)
   const demand = new Map<string, number>()
@@ -26,7 +26,7 @@
   return demand
 }
 
-/** VMs that hold these services by their declared sizes. */
+/** Number of VMs that have room for these services, by their declared sizes. */
 function vmsNeeded(
   services: readonly ServiceLine[],
   vm: { cpus: number; memoryGb: number },
@@ -37,7 +37,7 @@
   for (const service of services) {
     cpus += service.instances * service.cpus
     memory += service.instances * service.memory_gb
-    // Two VMs at least for several instances, so that they do not share one.
+    // Several instances need at least two VMs, so that they do not all share one.
     minimumVms = Math.max(minimumVms, Math.min(service.instances, 2))
   }
   const bySize = Math.max(cpus / vm.cpus, memory / vm.memoryGb)
@@ -45,8 +45,9 @@
 }
 
 /**
- * Shares out VMs: each pool gets its demand, or when they are scarce its share by
- * weight, never more than its demand. Whole VMs, largest remainder first.
+ * Allocates VMs to pools: each pool gets its demand or, when VMs are scarce, a share by
+ * weight, but never more than its demand. Scarce VMs are allocated one by one, each to
+ * the pool that would then have the fewest VMs for its weight. Weight 0 gets none.
  */
 export function allocateByWeight(
   demand: ReadonlyMap<string, number>,
@@ -56,7 +57,7 @@
   const wanted = [...demand].filter(([pool]) => (weights.get(pool) ?? 0) > 0)
   const total = wanted.reduce((sum, [, count]) => sum + count, 0)
   const shares = new Map([...demand.keys()].map((pool) => [pool, 0]))
-  // With enough for all there is nothing to weigh.
+  // Weights set the shares only when VMs are scarce.
   if (total <= available) return new Map([...shares, ...wanted])
   let remaining = available
   while (remaining > 0) {
@@ -68,7 +69,7 @@
   return shares
 }
 
-/** The pool with unmet demand that has the least for its weight; ties go by name. */
+/** Returns the pool with unmet demand that gets the next VM; ties are broken by name. */
 function nextPoolByWeight(
   demand: ReadonlyMap<string, number>,
   weights: ReadonlyMap<string, number>,
@@ -88,9 +89,9 @@
 }
 
 /**
- * The moves that bring each pool to its share.
- * @param jobCount jobs on a VM; VMs with few are moved first.
- * @param surge pools that may have one VM of the reserve above their share.
+ * Returns the moves that bring each pool to its share.
+ * @param jobCount number of jobs on a VM; VMs with the fewest are moved first.
+ * @param surge pools that may borrow one VM of the reserve above their share.
  */
 export function planPools(
   table: Table,
@@ -139,7 +140,7 @@
   for (const pool of shares.keys()) {
     const vm = movableVms.find((each) => each.pool === RESERVE_POOL)
     if (!vm || surgeAllowance(pool) === 0 || surplus(pool) !== 0) continue
-    addMove(vm, pool, 'a wave goes through the pool, and the reserve can spare a VM')
+    addMove(vm, pool, 'a wave is in progress in the pool, and the reserve has a VM')
   }
   for (const vm of [...movableVms]) {
     if (vm.pool === RESERVE_POOL || surplus(vm.pool) <= surgeAllowance(vm.pool)) continue
--- a/src/keeper/registration.ts
+++ b/src/keeper/registration.ts
@@ -1,4 +1,4 @@
-/** Rows of VMs that the platform's list shows for the first time, anew, or no more. */
+/** Updates VM rows for VMs that are new, changed or missing on the platform's list. */
 import { vmKey } from '../fleet/index.js'
 import type { VmRow } from '../fleet/index.js'
 import type { ListedVm, RowWrite } from '../platform/index.js'
@@ -8,12 +8,12 @@
 import type { KeeperContext } from './context.js'
 import type { FleetState, Versioned } from './fleetState.js'
 
-/** A VM missing from the lagging list for so long is gone, in ms. */
+/** Time after which a VM missing from the list is gone, in ms, as the list lags. */
 const GONE_AFTER_MS = 5000
 
 /**
- * Brings the rows of VMs in line with the list. A VM under an operation is left to it.
- * @param missingSince when each VM was first seen to be missing, on the monotonic clock.
+ * Updates the rows of VMs from the list, except while an operation on the VM is running.
+ * @param missingSince when each VM was first missing from the list, in monotonic time.
  */
 export async function registerVms(
   ctx: KeeperContext,
@@ -52,7 +52,7 @@
   return { key: vmKey(hall, id), version: 0, value }
 }
 
-/** A VM that restarted, was replaced, or is listed again. */
+/** Write for a VM that restarted, was replaced, or is listed again. */
 function reactivateWrite(known: Versioned<VmRow>, vm: ListedVm): RowWrite | undefined {
   const { key, version, value } = known
   const restarted = value.incarnation !== vm.incarnation
--- a/src/keeper/waves.ts
+++ b/src/keeper/waves.ts
@@ -1,25 +1,25 @@
 /**
- * Which VMs go into maintenance next. Empty VMs go first, so that the others can move
- * their jobs onto VMs that are already done, and each job moves at most once a wave.
+ * Selects the VMs to maintain next. Empty VMs go first, so that the jobs of the others
+ * can move to VMs already maintained, and each job moves at most once per wave.
  */
 import type { JobRow, VmRow, WaveRow } from '../fleet/index.js'
 import type { WaveLine } from '../table/index.js'
 import type { BudgetInput } from './budgets.js'
 import type { FleetState } from './fleetState.js'
 
-/** One VM to maintain, or the reason why none is. */
+/** Next step of a wave: a VM to maintain, the reason to wait, or its end. */
 export type WaveDecision =
   | { kind: 'start'; wave: string; vm: string; reason: string }
   | { kind: 'hold'; wave: string; reason: string }
   | { kind: 'finish'; wave: string }
 
-/** What wave planning looks at. */
+/** Input of {@link planWaves}. */
 export interface WaveInput extends BudgetInput {
   /** Rows of the waves in this hall. */
   waves: ReadonlyMap<string, WaveRow>
 }
 
-/** The state without the versions of its rows. */
+/** Converts the state to planning input, without the versions of its rows. */
 export function waveInput(state: FleetState): WaveInput {
   const values = <T>(map: Map<string, { value: T }>) =>
     new Map([...map].map(([key, each]) => [key, each.value]))
@@ -33,13 +33,13 @@
   }
 }
 
-/** A job whose task has failed serves nobody: it is shown as of no life of its VM. */
+/** Clears the incarnation of a job whose task has failed, so that it counts as dead. */
 function withTaskState(state: FleetState, job: JobRow): JobRow {
   const failed = state.tasks.get(job.id)?.state === 'failed'
   return failed ? { ...job, incarnation: '' } : job
 }
 
-/** Waves that are due in this hall, the heaviest first. */
+/** Waves that are due in this hall, by descending weight. */
 export function dueWaves(
   input: Pick<WaveInput, 'table' | 'waves'>,
 ): [string, WaveLine][] {
@@ -48,17 +48,17 @@
     .sort(([a, x], [b, y]) => y.weight - x.weight || (a < b ? -1 : 1))
 }
 
-/** Pools that a wave is going through; they may borrow a VM of the reserve. */
+/** Pools with a due wave; they may borrow a VM of the reserve. */
 export function poolsInWave(input: Pick<WaveInput, 'table' | 'waves'>): Set<string> {
   return new Set(dueWaves(input).map(([, line]) => line.pool))
 }
 
-/** VMs that a due wave has already maintained; jobs are best moved there. */
+/** VMs that a due wave has already maintained; they are preferred for new instances. */
 export function maintainedVms(input: Pick<WaveInput, 'table' | 'waves'>): Set<string> {
   return new Set(dueWaves(input).flatMap(([wave]) => input.waves.get(wave)?.done ?? []))
 }
 
-/** Decides at most one step per wave. */
+/** Decides one step per due wave. */
 export function planWaves(input: WaveInput): WaveDecision[] {
   const chosenVms = new Set<string>()
   return dueWaves(input).map(([wave, line]) => {
@@ -82,7 +82,7 @@
   const remaining = inPool.filter((vm) => !row?.done.includes(vm.id))
   if (remaining.length === 0 && doing === 0) return { kind: 'finish', wave }
   if (doing >= line.limit)
-    return hold(`${doing} VMs are away, the limit is ${line.limit}`)
+    return hold(`${doing} VMs are in maintenance, the limit is ${line.limit}`)
   const candidates = remaining.filter(
     (vm) => vm.state === 'active' && vm.operation === undefined && !chosenVms.has(vm.id),
   )
@@ -90,14 +90,14 @@
   const count = (vm: VmRow) => counts.get(vm.id) ?? 0
   candidates.sort((a, b) => count(a) - count(b) || (a.id < b.id ? -1 : 1))
   const next = candidates[0]
-  if (!next) return hold('no VM of the pool is free for it')
+  if (!next) return hold('no VM of the pool is available for maintenance')
   const isVmArriving = input.vms.some((vm) => vm.operation?.toPool === line.pool)
   if (isVmArriving && count(next) > 0) return hold('a VM is on its way to the pool')
   const reason = `${remaining.length} of ${inPool.length} VMs left, ${count(next)} jobs on this one`
   return { kind: 'start', wave, vm: next.id, reason }
 }
 
-/** Jobs by VM. */
+/** Number of jobs by VM. */
 export function countJobs(jobs: readonly JobRow[]): Map<string, number> {
   const counts = new Map<string, number>()
   for (const { vm } of jobs) counts.set(vm, (counts.get(vm) ?? 0) + 1)
--- a/src/table/csv.ts
+++ b/src/table/csv.ts
@@ -1,4 +1,4 @@
-/** The table as a CSV sheet, for spreadsheets. */
+/** Imports and exports the table as a CSV sheet. */
 import { parse } from 'csv-parse/sync'
 import { stringify } from 'csv-stringify/sync'
 import { err, ok } from 'neverthrow'
@@ -9,7 +9,7 @@
 
 const KEY_COLUMNS = ['kind', 'name']
 
-/** Writes a sheet with one line per row, sorted, and a heading. */
+/** Writes a sheet: a heading, then one line per row, sorted. */
 export function exportCsv(table: RawTable): string {
   const columns = allColumns()
   const lines = Object.keys(table)
@@ -21,7 +21,7 @@
   return stringify([[...KEY_COLUMNS, ...columns], ...lines])
 }
 
-/** Reads a sheet; empty cells are absent. Errors name the line and the column. */
+/** Parses a sheet; empty cells are left out. Errors name the line and the wrong column. */
 export function importCsv(text: string): Result<RawTable, TableError> {
   let records: string[][]
   try {
@@ -46,7 +46,7 @@
     const row = `${cells['kind']}/${cells['name']}`
     const position = `line ${index + 2}`
     if (!splitRow(row))
-      return importError(`${position}: '${row}' is no pool, service or wave`)
+      return importError(`${position}: '${row}' is not a pool, service or wave`)
     if (table[row]) return importError(`${position}: '${row}' stands twice`)
     const filledCells = Object.entries(cells).filter(
       ([column, value]) => !KEY_COLUMNS.includes(column) && value !== '',
--- a/src/table/feed.ts
+++ b/src/table/feed.ts
@@ -1,10 +1,10 @@
-/** Brings accepted tables from the platform into force. */
+/** Reads accepted tables from the platform and offers them to the table holder. */
 import type { Platform, RowWatch } from '../platform/index.js'
 import type { TableHolder } from './inForce.js'
 import type { Head } from './records.js'
 import { HEAD_KEY, acceptedSchema, headSchema, tableKey } from './records.js'
 
-/** Reads the head and its table from the platform and offers it. */
+/** Reads the head from the platform and offers the table that it names. */
 export async function readPlatformTable(
   platform: Platform,
   table: TableHolder,
@@ -15,7 +15,7 @@
   if (head.success) await readHeadTable(platform, table, head.data)
 }
 
-/** Offers the table of each new head that the watch sees. Returns a function that ends this. */
+/** Offers the table of each new head in the watch. Returns an unsubscribe function. */
 export function followHead(
   platform: Platform,
   rows: RowWatch,
--- a/src/table/inForce.ts
+++ b/src/table/inForce.ts
@@ -1,6 +1,6 @@
 /**
- * The accepted table in force in this process. It only ever moves to a higher epoch,
- * whatever the store or a peer says, and changes whole, between requests.
+ * The accepted table in force in this process. Its epoch only increases, whatever the
+ * store or a peer offers, and it is replaced as a whole, between requests.
  */
 import type { Logger } from '../shared/index.js'
 import type { AcceptedTable } from './records.js'
@@ -8,27 +8,30 @@
 import { checkTable } from './schema.js'
 import type { Table } from './schema.js'
 
-/** A table in force. */
+/** The table in force, both as accepted and parsed. */
 export interface TableInForce {
   epoch: number
   accepted: AcceptedTable
   table: Table
 }
 
-/** Where an offered table came from. */
+/** Source of an offered table. */
 export type TableSource = 'platform' | 'peer'
 
 /** Holds the table in force. */
 export interface TableHolder {
   /** Undefined until the first accepted table arrives. */
   current(): TableInForce | undefined
-  /** Puts a table in force if it is newer and proves to be whole. */
+  /**
+   * Puts a table in force if its epoch is higher, its hash matches and its cells are
+   * valid. Returns whether it did.
+   */
   offer(accepted: AcceptedTable, source: TableSource): boolean
-  /** Calls back after every change. Returns a function that ends this. */
+  /** Calls the listener after every change. Returns an unsubscribe function. */
   subscribe(listener: (now: TableInForce) => void): () => void
 }
 
-/** Creates a holder without a table. */
+/** Creates a holder that has no table yet. */
 export function createTableHolder(log: Logger): TableHolder {
   let current: TableInForce | undefined
   const listeners = new Set<(now: TableInForce) => void>()
--- a/src/table/index.ts
+++ b/src/table/index.ts
@@ -1,4 +1,4 @@
-/** The operators' table: schema, drafts, accept, the epoch in force. */
+/** The operators' table: schema, drafts, accepts and the epoch in force. */
 export * from './csv.js'
 export * from './feed.js'
 export * from './inForce.js'
--- a/src/table/merge.ts
+++ b/src/table/merge.ts
@@ -1,10 +1,10 @@
 /**
- * Merging by cell. A draft's edits are laid over the head; an edit of a cell that
- * someone else changed since the draft's base, to another value, is a conflict.
+ * Merges drafts by cell. A draft's edits are applied to the head. An edit is a conflict
+ * if someone else has changed the cell to another value since the draft's base.
  */
 import type { RawTable } from './schema.js'
 
-/** One edited cell; `value` null clears the cell, column `*` with null removes the line. */
+/** One edited cell. Value null clears the cell; in column `*` it removes the line. */
 export interface CellEdit {
   row: string
   column: string
@@ -12,10 +12,10 @@
   editor: string
 }
 
-/** Column that stands for the whole line. */
+/** Column value that denotes the whole line. */
 export const WHOLE_LINE = '*'
 
-/** Two edits of one cell. */
+/** Two conflicting edits of one cell. */
 export interface CellConflict {
   row: string
   column: string
@@ -23,13 +23,13 @@
   theirs: { editor: string; value: string | null }
 }
 
-/** A merged table, with the conflicts that forbid using it. */
+/** A merged table. It must not be used if there are conflicts. */
 export interface MergeResult {
   merged: RawTable
   conflicts: CellConflict[]
 }
 
-/** Puts edits into a copy of the table. */
+/** Applies edits to a copy of the table. */
 export function applyEdits(table: RawTable, edits: readonly CellEdit[]): RawTable {
   const result: RawTable = structuredClone(table)
   for (const { row, column, value } of edits) applyEdit(result, row, column, value)
@@ -55,9 +55,9 @@
 }
 
 /**
- * Lays a draft over the head.
+ * Applies a draft to the head and lists its conflicts.
  * @param edits the draft's edits, made against its base.
- * @param acceptedSinceBase what others accepted after that base, oldest first.
+ * @param acceptedSinceBase edits accepted after that base, oldest first.
  */
 export function mergeDraft(
   head: RawTable,
@@ -85,7 +85,7 @@
   return a.column === b.column || a.column === WHOLE_LINE || b.column === WHOLE_LINE
 }
 
-/** The edits that turn one table into another. */
+/** Returns the edits that turn one table into another. */
 export function diffTables(from: RawTable, to: RawTable, editor: string): CellEdit[] {
   const edits: CellEdit[] = []
   for (const row of Object.keys(from)) {
--- a/src/table/records.ts
+++ b/src/table/records.ts
@@ -1,17 +1,17 @@
-/** Rows of the platform's table that hold the operators' table, and their keys. */
+/** Keys and schemas of the platform's rows that hold the operators' table. */
 import { createHash } from 'node:crypto'
 import { z } from 'zod'
 import { canonicalJson } from '../shared/index.js'
 import { rawTableSchema } from './schema.js'
 import type { RawTable } from './schema.js'
 
-/** Row that names the accepted table. */
+/** Key of the row that names the accepted table. */
 export const HEAD_KEY = 'head'
 
-/** Row of one accepted table; it never changes. */
+/** Key of the row of one accepted table; the row never changes. */
 export const tableKey = (epoch: number): string => `tables/${epoch}`
 
-/** Row of an editor's draft. */
+/** Key of the row of an editor's draft. */
 export const draftKey = (editor: string): string => `drafts/${editor}`
 
 const editSchema = z.object({
@@ -32,7 +32,7 @@
 /** Contents of `tables/N`. */
 export const acceptedSchema = headSchema.extend({
   editor: z.string(),
-  /** Time of day at the editor, for people only. */
+  /** Wall-clock time at the editor, shown to operators only. */
   at: z.string(),
   raw: rawTableSchema,
   changes: z.array(editSchema),
@@ -43,12 +43,12 @@
 export const draftSchema = z.object({
   base: z.number().int().min(0),
   edits: z.array(editSchema),
-  /** Accept that was begun for this draft and whose outcome is not known yet. */
+  /** Id of an accept of this draft that was started and whose outcome is unknown. */
   accepting: z.string().optional(),
 })
 export type Draft = z.infer<typeof draftSchema>
 
-/** Hash by which readers prove that a table is the accepted one. */
+/** Hash by which readers verify that a table is the accepted one. */
 export function hashTable(epoch: number, raw: RawTable): string {
   return createHash('sha256').update(canonicalJson({ epoch, raw })).digest('hex')
 }
--- a/src/table/schema.ts
+++ b/src/table/schema.ts
@@ -1,6 +1,6 @@
 /**
  * The operators' table: one line per pool, service and maintenance wave. Writers
- * and readers check it with the same schema. `docs/table.md` describes each column.
+ * and readers validate it with the same schema. `docs/table.md` describes each column.
  */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -10,7 +10,7 @@
 export const KINDS = ['pool', 'service', 'wave'] as const
 export type Kind = (typeof KINDS)[number]
 
-/** Pool that holds the VMs of a hall that no other pool has. It stands in no table. */
+/** Pool of the VMs of a hall that are in no other pool. It has no line in the table. */
 export const RESERVE_POOL = 'reserve'
 
 const MAX_WEIGHT = 1000
@@ -45,14 +45,14 @@
 const poolSchema = z.strictObject({
   /** Share of the VMs when they are scarce. */
   weight: numberInRange(0, MAX_WEIGHT),
-  /** The most VMs that it may have in a hall. */
+  /** Maximum number of its VMs in a hall. */
   limit: wholeNumberInRange(0, MAX_LIMIT),
 })
 
 const serviceSchema = z.strictObject({
-  /** Share of the dispatch turns. */
+  /** Share of the dispatch turns relative to other services. */
   weight: numberInRange(0, MAX_WEIGHT),
-  /** The most requests in flight over all entries. */
+  /** Maximum number of requests in flight over all entries. */
   limit: wholeNumberInRange(0, MAX_LIMIT),
   /** Pool whose VMs run it. */
   pool: name(),
@@ -60,26 +60,26 @@
   team: name().prefault('default'),
   /** Instances in each hall. */
   instances: wholeNumberInRange(0, 10_000).prefault('1'),
-  /** Requests that one instance serves at a time. */
+  /** Maximum number of requests that one instance serves at a time. */
   slots: wholeNumberInRange(1, 10_000).prefault('8'),
-  /** Declared processors of an instance. */
+  /** Declared number of processors of an instance. */
   cpus: numberInRange(0, 1024).prefault('2'),
   /** Declared memory of an instance, in GB. */
   memory_gb: numberInRange(0, 65_536).prefault('4'),
-  /** The most instances that may be away at once, over all halls, by our doing. */
+  /** Maximum number of instances that operations stop at once, over all halls. */
   budget: wholeNumberInRange(0, 10_000).prefault('1'),
-  /** Which requests go first when there are too many. */
+  /** Which requests are served first under overload. */
   priority: oneOf(['urgent', 'normal', 'deferrable']).prefault('normal'),
 })
 
 const waveSchema = z.strictObject({
-  /** Order against other waves; the highest goes first. */
+  /** Order among waves; the highest weight goes first. */
   weight: numberInRange(0, MAX_WEIGHT),
-  /** The most VMs of a hall away at once. */
+  /** Maximum number of VMs of a hall in maintenance at once. */
   limit: wholeNumberInRange(0, MAX_LIMIT),
   /** Pool whose VMs are maintained. */
   pool: name(),
-  /** What the wave may do. */
+  /** Whether the wave runs, is paused or is cancelled. */
   state: oneOf(['run', 'paused', 'cancelled']).prefault('run'),
 })
 
@@ -89,7 +89,7 @@
 export type ServiceLine = z.output<typeof serviceSchema>
 export type WaveLine = z.output<typeof waveSchema>
 
-/** The table as decisions use it. */
+/** The parsed table, with defaults filled in. */
 export interface Table {
   pools: Map<string, PoolLine>
   services: Map<string, ServiceLine>
@@ -99,10 +99,10 @@
 /** Cells as text, by line (`kind/name`) and column. Absent cells take the default. */
 export type RawTable = Record<string, Record<string, string>>
 
-/** Shape of a raw table on the wire. */
+/** Schema of a raw table on the wire. */
 export const rawTableSchema = z.record(z.string(), z.record(z.string(), z.string()))
 
-/** One wrong cell. */
+/** One invalid cell and the rule that it breaks. */
 export interface CellError {
   row: string
   column: string
@@ -120,7 +120,7 @@
   return [...new Set(KINDS.flatMap(columnsOf))]
 }
 
-/** Splits `kind/name`; undefined when it is no such thing. */
+/** Splits `kind/name`; undefined if the kind is unknown or the name is invalid. */
 export function splitRow(row: string): { kind: Kind; name: string } | undefined {
   const at = row.indexOf('/')
   const kind = KINDS.find((each) => each === row.slice(0, at))
@@ -128,7 +128,7 @@
   return kind && NAME_PATTERN.test(name) ? { kind, name } : undefined
 }
 
-/** Checks a whole table; every wrong cell is listed. */
+/** Checks a whole table and lists every invalid cell. */
 export function checkTable(raw: RawTable): Result<Table, CellError[]> {
   const table: Table = { pools: new Map(), services: new Map(), waves: new Map() }
   const errors: CellError[] = []
@@ -150,7 +150,7 @@
     return
   }
   if (parts.kind === 'pool' && parts.name === RESERVE_POOL) {
-    const rule = `another name: '${RESERVE_POOL}' holds the VMs that no pool has`
+    const rule = `another name: '${RESERVE_POOL}' is the pool of unassigned VMs`
     errors.push({ row, column: 'name', value: parts.name, rule })
     return
   }
--- a/src/table/store.ts
+++ b/src/table/store.ts
@@ -1,7 +1,7 @@
 /**
- * Drafts and accepts against the platform. An accept is one conditional transaction:
- * it writes `tables/N+1`, moves `head` from N to N+1 and deletes the draft, so a draft
- * that still stands was not accepted.
+ * Stores drafts and accepts them. An accept is one conditional transaction: it writes
+ * `tables/N+1`, moves `head` from N to N+1 and deletes the draft. A draft that still
+ * exists was therefore not accepted.
  */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -24,22 +24,22 @@
 import { checkTable } from './schema.js'
 import type { CellError, RawTable } from './schema.js'
 
-/** Times that an accept is merged again after it lost a race. */
+/** Attempts to merge and accept a draft while other accepts commit first. */
 const MAX_ACCEPT_ATTEMPTS = 8
-/** Most accepted tables that one call reads back. */
+/** Maximum number of accepted tables per read request. */
 const TABLES_PER_READ = 50
 
 type StoreError = PlatformError | TableError
 type StoreResult<T> = Promise<Result<T, StoreError>>
 
-/** What became of an accept. */
+/** Outcome of an accept. */
 export type AcceptOutcome =
   | { kind: 'accepted'; epoch: number; acceptId: string; changes: CellEdit[] }
   | { kind: 'refused'; errors: CellError[]; conflicts: CellConflict[] }
   | { kind: 'nothing' }
   | { kind: 'unknown'; acceptId: string; reason: string }
 
-/** A draft and the table it is based on. */
+/** A draft and the accepted table at the time of reading. */
 export interface DraftView {
   head: AcceptedTable | undefined
   draft: Draft
@@ -47,7 +47,7 @@
   version: number
 }
 
-/** Operations of the command line on the table. */
+/** Table operations of the command line. */
 export interface TableStore {
   /** The accepted table; undefined before the first accept. */
   head(): StoreResult<AcceptedTable | undefined>
@@ -56,11 +56,11 @@
   draft(editor: string): StoreResult<DraftView>
   /** Adds edits to the editor's draft. */
   edit(editor: string, edits: Omit<CellEdit, 'editor'>[]): StoreResult<Draft>
-  /** Throws the editor's draft away. */
+  /** Deletes the editor's draft. */
   discard(editor: string): StoreResult<void>
   /** Merges, checks and accepts the draft. */
   accept(editor: string): StoreResult<AcceptOutcome>
-  /** Finds out whether an accept took effect; undefined when it did not. */
+  /** Returns the table that an accept produced; undefined if it did not take effect. */
   findAccept(acceptId: string): StoreResult<AcceptedTable | undefined>
 }
 
@@ -234,7 +234,12 @@
         if (outcome.value !== 'again') return ok(outcome.value)
       }
       const props = { step: 'table.accept' }
-      return err(new TableError('lost every race; nothing was accepted', { props }))
+      return err(
+        new TableError(
+          'other changes were committed first in every attempt; nothing was accepted',
+          { props },
+        ),
+      )
     },
     async findAccept(acceptId) {
       const head = await readHead()
