--- a/src/keeper/keeper.ts
+++ b/src/keeper/keeper.ts
@@ -63,7 +63,7 @@
 export function createKeeper(opts: KeeperOptions): Keeper {
   const { hall, holder, platform, rows, table, peers, log, metrics } = opts
   const stopping = createStopController()
-  const pendingTasks = new Map<string, Promise<void>>()
+  const runningTasks = new Map<string, Promise<void>>()
   const failedStarts = new Map<string, { count: number; until: number }>()
   const missingSince = new Map<string, number>()
   const holdReasons = new Map<string, string>()
@@ -244,13 +244,13 @@
 
   /** Starts a task, unless one of this name is running. */
   function runOnce(name: string, run: () => Promise<void>): void {
-    if (pendingTasks.has(name)) return
+    if (runningTasks.has(name)) return
     const task = run()
       .catch((cause) => {
         log.event('unexpectedError', { step: name, reason: describeError(cause) })
       })
-      .finally(() => pendingTasks.delete(name))
-    pendingTasks.set(name, task)
+      .finally(() => runningTasks.delete(name))
+    runningTasks.set(name, task)
   }
 
   async function run(): Promise<void> {
@@ -278,7 +278,7 @@
     async stop() {
       stopping.abort()
       await roundLoop
-      await Promise.all(pendingTasks.values())
+      await Promise.all(runningTasks.values())
       await lease.stop()
     },
   }
--- a/src/table/schema.ts
+++ b/src/table/schema.ts
@@ -8,7 +8,7 @@
 
 /** Kinds of lines. */
 export const KINDS = ['pool', 'service', 'wave'] as const
-export type Kind = (typeof KINDS)[number]
+export type LineKind = (typeof KINDS)[number]
 
 /** Pool of the VMs of a hall that are in no other pool. It has no line in the table. */
 export const RESERVE_POOL = 'reserve'
@@ -111,7 +111,7 @@
 }
 
 /** Columns of a kind of line, in order. */
-export function columnsOf(kind: Kind): string[] {
+export function columnsOf(kind: LineKind): string[] {
   return Object.keys(SCHEMAS[kind].shape)
 }
 
@@ -121,7 +121,7 @@
 }
 
 /** Splits `kind/name`; undefined if the kind is unknown or the name is invalid. */
-export function splitRow(row: string): { kind: Kind; name: string } | undefined {
+export function splitRow(row: string): { kind: LineKind; name: string } | undefined {
   const at = row.indexOf('/')
   const kind = KINDS.find((each) => each === row.slice(0, at))
   const name = row.slice(at + 1)
