--- a/src/keeper/__tests__/planning.spec.ts
+++ b/src/keeper/__tests__/planning.spec.ts
@@ -248,10 +248,7 @@
         }
         const before = jobs.filter(serves).length
         const after = jobs.filter((each) => serves(each) && !stopped.has(each.id)).length
-        t.true(
-          after >= Math.min(before, instances),
-          'fewer instances serve than requested',
-        )
+        t.true(after >= Math.min(before, instances), 'stopped too many serving instances')
         for (const each of decisions) {
           if (each.kind !== 'start') continue
           const on = vms.find((one) => one.id === each.vm)!
