--- a/src/keeper/budgets.ts
+++ b/src/keeper/budgets.ts
@@ -1,9 +1,9 @@
-/** How many instances of a service are away, and whether more may go. */
+/** Counts the unavailable instances of a service and checks its budget. */
 import { servesWork } from '../fleet/index.js'
 import type { BudgetRow, JobRow, VmRow } from '../fleet/index.js'
 import type { ServiceLine, Table } from '../table/index.js'
 
-/** What budgets are worked out from. */
+/** State from which the use of budgets is computed. */
 export interface BudgetInput {
   table: Table
   /** VMs and jobs of the own hall. */
@@ -15,7 +15,7 @@
 }
 
 /**
- * Why the budgets forbid taking these instances away; undefined when they allow it.
+ * Returns why the budgets forbid stopping these instances; undefined if they allow it.
  * @param services one entry per instance.
  */
 export function budgetShortage(
@@ -25,26 +25,26 @@
   for (const service of new Set(services)) {
     const line = input.table.services.get(service)
     if (!line) continue
-    const wanted = services.filter((each) => each === service).length
-    const out = instancesOut(input, service, line)
-    if (out + wanted <= line.budget) continue
-    return `'${service}' has ${out} of its budget of ${line.budget} away`
+    const requested = services.filter((each) => each === service).length
+    const unavailable = unavailableInstances(input, service, line)
+    if (unavailable + requested <= line.budget) continue
+    return `'${service}' has ${unavailable} of its budget of ${line.budget} away`
   }
   return undefined
 }
 
 /**
- * Instances away now: those that any hall has taken out, and those of this hall that
- * are missing for another reason.
+ * Counts the unavailable instances: those that any hall has charged to the budget, and
+ * those of this hall that are missing for another reason.
  */
-export function instancesOut(
+export function unavailableInstances(
   input: BudgetInput,
   service: string,
   line: ServiceLine,
 ): number {
   const planned = input.budgets.get(service)?.out ?? []
   const total = planned.reduce((sum, each) => sum + each.count, 0)
-  const here = planned
+  const plannedInHall = planned
     .filter((each) => each.hall === input.hall)
     .reduce((sum, each) => sum + each.count, 0)
   const vms = new Map(input.vms.map((vm) => [vm.id, vm]))
@@ -54,5 +54,5 @@
     return job.service === service && job.state === 'running' && serves
   }).length
   const missing = Math.max(0, line.instances - available)
-  return total + Math.max(0, missing - here)
+  return total + Math.max(0, missing - plannedInHall)
 }
--- a/src/keeper/lease.ts
+++ b/src/keeper/lease.ts
@@ -1,8 +1,8 @@
 /**
- * The lease of a hall: at most one keeper decides for it. Expiry is judged without
- * comparing clocks: a standby takes the lease when its row has not changed for longer
- * than the term on the standby's own monotonic clock. The holder counts its term from
- * before the request that renewed it, and every write names the fence as a condition.
+ * The lease of a hall, which allows at most one keeper to decide for it. Expiry is
+ * judged without comparing clocks: a standby takes the lease when the row has not changed
+ * for longer than the term on its own monotonic clock. The holder counts the term from
+ * before it sends the renewal, and every write is conditional on the fencing token.
  */
 import { leaseKey, leaseRowSchema } from '../fleet/index.js'
 import type { LeaseRow } from '../fleet/index.js'
@@ -11,18 +11,17 @@
 import { createStopController, jittered, monotonicMs, sleep } from '../shared/index.js'
 import type { Logger, Metrics } from '../shared/index.js'
 
-/** Renewals per term. */
 const RENEWALS_PER_TERM = 3
-/** A standby waits this much longer than the term. */
-const TAKEOVER_MARGIN = 1.25
+/** Terms without a renewal after which a standby takes the lease. */
+const TAKEOVER_WAIT_FACTOR = 1.25
 
-/** The lease as its keeper sees it. */
+/** A keeper's handle on the lease. */
 export interface Lease {
-  /** The fence while the lease is held and not near its end; undefined otherwise. */
+  /** The fencing token; undefined unless the lease is held and its term has not ended. */
   fence(): number | undefined
-  /** The condition that every write under the lease must carry. */
+  /** Condition that every write under the lease must carry. */
   guard(fence: number): RowGuard
-  /** Gives the lease up, so that a standby need not wait for its end. */
+  /** Releases the lease, so that a standby need not wait for it to expire. */
   stop(): Promise<void>
 }
 
@@ -30,7 +29,7 @@
 export interface LeaseOptions {
   platform: Platform
   hall: string
-  /** Unique per process and start. */
+  /** Id of the keeper's process, unique to each start of it. */
   holder: string
   /** Term in ms. */
   ttlMs: number
@@ -43,7 +42,7 @@
   now?: () => number
 }
 
-const today = () => new Date().toISOString()
+const currentTimestamp = () => new Date().toISOString()
 
 /** Starts the task that takes and renews the lease. */
 export function createLease(opts: LeaseOptions): Lease {
@@ -52,7 +51,7 @@
   const key = leaseKey(hall)
   const stopping = createStopController()
   let held: { fence: number; until: number } | undefined
-  let seen = { version: -1, at: 0 }
+  let lastChange = { version: -1, at: 0 }
 
   function setHeld(next: typeof held): void {
     if (!held && next) log.event('leaseTaken', { hall, holder, fence: next.fence })
@@ -61,7 +60,7 @@
     metrics.leaseHeld.set(next ? 1 : 0)
   }
 
-  async function write(row: Row | undefined, value: LeaseRow, startedAt: number) {
+  async function writeLeaseRow(row: Row | undefined, value: LeaseRow, startedAt: number) {
     const version = row?.version ?? 0
     const writes = [{ key, version, value }]
     const outcome = await commit(platform, { opId: newOpId('lease'), writes, guards: [] })
@@ -70,40 +69,48 @@
     if (value.holder === holder) setHeld({ fence: value.fence, until: startedAt + ttlMs })
   }
 
-  async function round(): Promise<void> {
+  async function takeOrRenew(): Promise<void> {
     const startedAt = now()
     const rows = await platform.read([key])
-    if (rows.isErr()) return expire()
+    if (rows.isErr()) return dropIfExpired()
     const row = rows.value.get(key)
     const found = leaseRowSchema.safeParse(row?.value)
     const current = found.success ? found.data : undefined
     const fence = current?.fence ?? 0
     if (current?.holder === holder) {
       if (held && held.fence !== fence) setHeld(undefined)
-      await write(row, { holder, fence, ttlMs, renewedAt: today() }, startedAt)
-      return expire()
+      await writeLeaseRow(
+        row,
+        { holder, fence, ttlMs, renewedAt: currentTimestamp() },
+        startedAt,
+      )
+      return dropIfExpired()
     }
     if (held) setHeld(undefined)
-    if (current && current.holder !== '' && !hasLapsed(row!, current)) return
-    await write(row, { holder, fence: fence + 1, ttlMs, renewedAt: today() }, startedAt)
+    if (current && current.holder !== '' && !hasExpired(row!, current)) return
+    await writeLeaseRow(
+      row,
+      { holder, fence: fence + 1, ttlMs, renewedAt: currentTimestamp() },
+      startedAt,
+    )
   }
 
-  /** Whether the holder has been silent for longer than its term, as watched from here. */
-  function hasLapsed(row: Row, lease: LeaseRow): boolean {
-    if (row.version !== seen.version) {
-      seen = { version: row.version, at: now() }
+  /** Whether the row has stayed unchanged for as long as a standby must wait. */
+  function hasExpired(row: Row, lease: LeaseRow): boolean {
+    if (row.version !== lastChange.version) {
+      lastChange = { version: row.version, at: now() }
       return false
     }
-    return now() - seen.at > lease.ttlMs * TAKEOVER_MARGIN
+    return now() - lastChange.at > lease.ttlMs * TAKEOVER_WAIT_FACTOR
   }
 
-  function expire(): void {
+  function dropIfExpired(): void {
     if (held && now() >= held.until) setHeld(undefined)
   }
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
-      await round()
+      await takeOrRenew()
       const pause = ttlMs / RENEWALS_PER_TERM
       await sleep(jittered(pause), stopping.signal)
     }
@@ -125,7 +132,7 @@
       const row = rows.isOk() ? rows.value.get(key) : undefined
       const found = leaseRowSchema.safeParse(row?.value)
       if (!row || !found.success || found.data.fence !== fence) return
-      const value: LeaseRow = { holder: '', fence, ttlMs, renewedAt: today() }
+      const value: LeaseRow = { holder: '', fence, ttlMs, renewedAt: currentTimestamp() }
       const writes = [{ key, version: row.version, value }]
       await commit(platform, { opId: newOpId('lease'), writes, guards: [] })
       log.event('leaseReleased', { hall, holder, fence })
--- a/src/keeper/operationStarts.ts
+++ b/src/keeper/operationStarts.ts
@@ -1,4 +1,4 @@
-/** How an operation on a VM begins: its row and the wave's are written together. */
+/** Starts operations on VMs. One transaction writes the rows of the VM and its wave. */
 import { waveKey } from '../fleet/index.js'
 import type { Operation, VmRow, WaveRow } from '../fleet/index.js'
 import { newOpId } from '../platform/index.js'
@@ -7,7 +7,7 @@
 import type { KeeperContext } from './context.js'
 import type { FleetState, Versioned } from './fleetState.js'
 
-/** Starts to move a VM to another pool. */
+/** Starts the move of a VM to another pool. */
 export function startMove(
   ctx: KeeperContext,
   fence: number,
@@ -21,7 +21,7 @@
   return writeUnderLease(ctx, fence, 'startMove', writes, operation.id)
 }
 
-/** Starts to maintain a VM as a step of a wave. */
+/** Starts the maintenance of a VM as a step of a wave. */
 export function startMaintenance(
   ctx: KeeperContext,
   fence: number,
@@ -32,8 +32,8 @@
   const vm = state.vms.get(vmId)!
   const operation = newOperation(vm.value, { kind: 'maintain', wave })
   const row = state.waves.get(wave)
-  const before = row?.value ?? newWaveRow(wave, ctx.hall)
-  const value: WaveRow = { ...before, doing: [...before.doing, vmId] }
+  const previous = row?.value ?? newWaveRow(wave, ctx.hall)
+  const value: WaveRow = { ...previous, doing: [...previous.doing, vmId] }
   const writes = [
     evacuateWrite(vm, operation),
     { key: waveKey(wave, ctx.hall), version: row?.version ?? 0, value },
@@ -43,13 +43,13 @@
 
 function newOperation(
   vm: VmRow,
-  what: Pick<Operation, 'kind' | 'toPool' | 'wave'>,
+  details: Pick<Operation, 'kind' | 'toPool' | 'wave'>,
 ): Operation {
-  const id = newOpId(what.kind)
-  return { ...what, id, fromIncarnation: vm.incarnation, services: [] }
+  const id = newOpId(details.kind)
+  return { ...details, id, fromIncarnation: vm.incarnation, services: [] }
 }
 
-/** An empty row of a wave in a hall. */
+/** Initial row of a wave in a hall. */
 export function newWaveRow(wave: string, hall: string): WaveRow {
   return { wave, hall, done: [], doing: [], halted: '', finished: false }
 }
