--- a/src/bin/nodeProgram.ts
+++ b/src/bin/nodeProgram.ts
@@ -21,7 +21,7 @@
 import type { Signals } from './signals.js'
 
 /** Variable that holds the path of the settings. */
-const SETTINGS_VARIABLE = 'RILLSHUNT_BOOT'
+const SETTINGS_ENV = 'RILLSHUNT_BOOT'
 /**
  * Pause before a start that failed is tried again, in ms. A port may be in use by what
  * ran here before; the process does not end for it, since a platform that starts it again
@@ -70,7 +70,7 @@
 }
 
 /** Says what of the settings is not used, and which contracts are not known. */
-function logUnknown({ cfg, ignored }: LoadedNodeConfig, log: Logger): void {
+function logIgnoredSettings({ cfg, ignored }: LoadedNodeConfig, log: Logger): void {
   if (ignored.length > 0) log.event('settingsIgnored', { ignored })
   const contracts = unknownContracts(cfg)
   if (contracts.length > 0) log.event('contractsUnknown', { contracts })
@@ -83,7 +83,7 @@
 async function reload(file: string, cfg: NodeConfig, log: Logger): Promise<void> {
   const next = await loadNodeConfig(file)
   if (next.isErr()) return log.event('settingsRejected', { reason: next.error.message })
-  logUnknown(next.value, log)
+  logIgnoredSettings(next.value, log)
   const changed = Object.keys(cfg).filter(
     (name) =>
       !isDeepStrictEqual(
@@ -111,7 +111,7 @@
   process.on('uncaughtException', (cause) =>
     log.event('unexpectedError', { reason: cause.stack ?? String(cause) }),
   )
-  logUnknown(loaded, log)
+  logIgnoredSettings(loaded, log)
   let kernel: Kernel | undefined
   let stop: Promise<void> | undefined
   // Asked again, it goes on with the stop that is under way: the process that ended at a
@@ -135,9 +135,9 @@
 /** Reads the settings, waits for them if need be, and runs the node. */
 export async function runNodeProgram(signals: Signals): Promise<void> {
   signals.handle('SIGTERM', () => process.exit(EXIT.ok))
-  const file = process.argv[2] ?? process.env[SETTINGS_VARIABLE]
+  const file = process.argv[2] ?? process.env[SETTINGS_ENV]
   if (file === undefined) {
-    process.stderr.write(`usage: rillshunt-node FILE, or ${SETTINGS_VARIABLE}=FILE\n`)
+    process.stderr.write(`usage: rillshunt-node FILE, or ${SETTINGS_ENV}=FILE\n`)
     process.exit(EXIT.usage)
   }
   const loaded = await loadNodeConfig(file)
--- a/src/bin/signals.ts
+++ b/src/bin/signals.ts
@@ -18,28 +18,28 @@
 const SIGNALS: readonly PlatformSignal[] = ['SIGHUP', 'SIGTERM']
 
 /** Found by the code that is loaded later, which is a bundle of its own. */
-const KEY = Symbol.for('rillshunt.signals')
+const SIGNALS_KEY = Symbol.for('rillshunt.signals')
 
 /** Holds signals from now on; the second call returns what the first one made. */
 export function holdSignals(): Signals {
-  const shared = globalThis as { [KEY]?: Signals }
-  return (shared[KEY] ??= createSignals())
+  const globals = globalThis as { [SIGNALS_KEY]?: Signals }
+  return (globals[SIGNALS_KEY] ??= createSignalBuffer())
 }
 
-function createSignals(): Signals {
+function createSignalBuffer(): Signals {
   const handlers = new Map<PlatformSignal, () => void>()
-  const early = new Set<PlatformSignal>()
+  const pending = new Set<PlatformSignal>()
   for (const signal of SIGNALS) {
     process.on(signal, () => {
       const handler = handlers.get(signal)
       if (handler) handler()
-      else early.add(signal)
+      else pending.add(signal)
     })
   }
   return {
     handle(signal, handler) {
       handlers.set(signal, handler)
-      if (early.delete(signal)) handler()
+      if (pending.delete(signal)) handler()
     },
   }
 }
--- a/src/cli/__tests__/waitQuestion.spec.ts
+++ b/src/cli/__tests__/waitReason.spec.ts
@@ -1,5 +1,5 @@
 import { describe, it } from '../../../test/describe.js'
-import { describeOwner } from '../waitQuestion.js'
+import { describeAnswer } from '../waitReason.js'
 
 describe('describeOwner', () => {
   const asked = { node: 'n1', failure: undefined, wait: undefined }
@@ -13,19 +13,19 @@
       couldRunOn: 2,
     }
     t.is(
-      describeOwner({ ...asked, wait }),
+      describeAnswer({ ...asked, wait }),
       'its owner n1 says: j.0.0.1 waits for 1200 ms, held by suspect 2, room 1, for 3400 ms more; 2 targets have room for it',
     )
     const noTarget = { ...wait, holds: {}, endsInMs: undefined, couldRunOn: 0 }
-    t.regex(describeOwner({ ...asked, wait: noTarget }), /held by no target; 0 targets/)
+    t.regex(describeAnswer({ ...asked, wait: noTarget }), /held by no target; 0 targets/)
   })
 
   it('says that nobody can tell', (t) => {
-    t.regex(describeOwner({ ...asked, node: undefined }), /no node owns/)
+    t.regex(describeAnswer({ ...asked, node: undefined }), /no node owns/)
     t.regex(
-      describeOwner({ ...asked, failure: 'timed out' }),
+      describeAnswer({ ...asked, failure: 'timed out' }),
       /n1 could not be asked: timed out/,
     )
-    t.regex(describeOwner(asked), /does not wait/)
+    t.regex(describeAnswer(asked), /does not wait/)
   })
 })
--- a/src/cli/acceptCommand.ts
+++ b/src/cli/acceptCommand.ts
@@ -3,12 +3,12 @@
 import { EXIT } from '../shared/index.js'
 import { applyEdits, checkTable } from '../table/index.js'
 import type { AcceptOutcome, CellConflict, CellError } from '../table/index.js'
-import { PlatformCommand, need, showCell } from './base.js'
+import { PlatformCommand, unwrap, formatCell } from './base.js'
 import type { Session } from './base.js'
 import { previewTable } from './preview.js'
 import type { HallPreview } from './preview.js'
 
-const EXIT_OF: Record<AcceptOutcome['kind'], number> = {
+const EXIT_CODES: Record<AcceptOutcome['kind'], number> = {
   accepted: EXIT.ok,
   nothing: EXIT.ok,
   refused: EXIT.refused,
@@ -16,7 +16,7 @@
 }
 
 /** What became of the accept, for people. */
-const TEXT_OF: {
+const OUTCOME_TEXTS: {
   [K in AcceptOutcome['kind']]: (outcome: Extract<AcceptOutcome, { kind: K }>) => string
 } = {
   accepted: ({ epoch }) => `accepted as epoch ${epoch}`,
@@ -42,16 +42,18 @@
       this.print({ preview }, () => describePreview(preview))
       return EXIT.ok
     }
-    const outcome = need(await session.store.accept(session.editor))
+    const outcome = unwrap(await session.store.accept(session.editor))
     this.print({ ...outcome, preview }, () => {
-      const text = (TEXT_OF[outcome.kind] as (outcome: AcceptOutcome) => string)(outcome)
+      const text = (OUTCOME_TEXTS[outcome.kind] as (outcome: AcceptOutcome) => string)(
+        outcome,
+      )
       return outcome.kind === 'accepted' ? `${text}\n${describePreview(preview)}` : text
     })
-    return EXIT_OF[outcome.kind]
+    return EXIT_CODES[outcome.kind]
   }
 
   private async preview({ store, platform, editor }: Session) {
-    const { head, draft } = need(await store.draft(editor))
+    const { head, draft } = unwrap(await store.draft(editor))
     const checked = checkTable(applyEdits(head?.raw ?? {}, draft.edits))
     return checked.isOk() ? previewTable(platform, checked.value) : undefined
   }
@@ -61,29 +63,29 @@
   if (!preview) return 'its effects cannot be shown'
   const lines = preview.flatMap((each) => {
     const { hall, vmMoves, jobStarts, jobStops, unplaced, stuckWaves } = each
-    const moves = vmMoves.map(
+    const moveLines = vmMoves.map(
       ({ vm, from, to }) => `  VM ${vm} moves from ${from} to ${to}`,
     )
-    const lacks = unplaced.map(
+    const unplacedLines = unplaced.map(
       ({ service, reason }) => `  '${service}' lacks room: ${reason}`,
     )
-    const stuck = stuckWaves.map(
+    const stuckLines = stuckWaves.map(
       ({ wave, reason }) => `  wave '${wave}' cannot finish: ${reason}`,
     )
-    const head = `${hall}: ${vmMoves.length} VMs move, ${jobStarts} jobs start, ${jobStops} stop`
-    return [head, ...moves, ...lacks, ...stuck]
+    const summary = `${hall}: ${vmMoves.length} VMs move, ${jobStarts} jobs start, ${jobStops} stop`
+    return [summary, ...moveLines, ...unplacedLines, ...stuckLines]
   })
   return lines.join('\n')
 }
 
 function describeRefusal(errors: CellError[], conflicts: CellConflict[]): string {
-  const wrong = errors.map(
+  const errorLines = errors.map(
     ({ row, column, value, rule }) => `${row} ${column}: '${value}' must be ${rule}`,
   )
-  const clashes = conflicts.map(
+  const conflictLines = conflicts.map(
     ({ row, column, mine, theirs }) =>
-      `${row} ${column}: ${theirs.editor} accepted ${showCell(theirs.value)}, ` +
-      `${mine.editor} wants ${showCell(mine.value)}`,
+      `${row} ${column}: ${theirs.editor} accepted ${formatCell(theirs.value)}, ` +
+      `${mine.editor} wants ${formatCell(mine.value)}`,
   )
-  return ['refused; nothing was changed:', ...wrong, ...clashes].join('\n  ')
+  return ['refused; nothing was changed:', ...errorLines, ...conflictLines].join('\n  ')
 }
--- a/src/cli/addressed.ts
+++ b/src/cli/addressedCommand.ts
@@ -3,10 +3,10 @@
 import { createStoreClient } from '../../platform/index.js'
 import type { RowStore, StoredRow } from '../ports/index.js'
 import { EXIT } from '../shared/index.js'
-import { OutputCommand, need } from './base.js'
+import { OutputCommand, unwrap } from './base.js'
 
 /** A service whose address an option or else a variable gives. */
-interface Addressed<C> {
+interface ServiceAddress<C> {
   /** What it is called in the message when no address is given. */
   name: string
   option: string
@@ -21,7 +21,7 @@
 export abstract class AddressedCommand extends OutputCommand {
   /** Runs with a client of the service; its number is the exit code. */
   async withClient<C extends { close(): void }>(
-    service: Addressed<C>,
+    service: ServiceAddress<C>,
     run: (client: C) => Promise<number>,
   ): Promise<number> {
     const { name, option, variable } = service
@@ -61,10 +61,10 @@
 }
 
 /** All rows of a table, part by part. */
-export async function rowsOf(store: RowStore, table: string): Promise<StoredRow[]> {
+export async function readAllRows(store: RowStore, table: string): Promise<StoredRow[]> {
   const rows: StoredRow[] = []
-  for (const part of need(await store.parts(table))) {
-    rows.push(...need(await store.read(table, part)).rows)
+  for (const part of unwrap(await store.parts(table))) {
+    rows.push(...unwrap(await store.read(table, part)).rows)
   }
   return rows
 }
--- a/src/cli/base.ts
+++ b/src/cli/base.ts
@@ -41,8 +41,8 @@
   }
 
   /** Prints a value as JSON, or for people by `human`. */
-  print(value: unknown, human: () => string): void {
-    const text = this.json ? JSON.stringify(value, null, 2) : human()
+  print(value: unknown, formatText: () => string): void {
+    const text = this.json ? JSON.stringify(value, null, 2) : formatText()
     this.context.stdout.write(`${text}\n`)
   }
 
@@ -53,12 +53,12 @@
   }
 
   /** A table for people. */
-  grid(head: string[], lines: (string | number)[][]): string {
-    const none = Object.fromEntries(BORDERS.map((name) => [name, '']))
+  formatTable(head: string[], lines: (string | number)[][]): string {
+    const noBorders = Object.fromEntries(BORDERS.map((name) => [name, '']))
     const table = new Table({
       head: head.map((each) => this.colors().bold(each)),
       style: { head: [], border: [], 'padding-left': 0, 'padding-right': 2 },
-      chars: none,
+      chars: noBorders,
     })
     table.push(...lines)
     const text = table.toString()
@@ -138,12 +138,12 @@
 ]
 
 /** The value, or an end of the command with the error's message. */
-export function need<T>(result: Result<T, Error>, exitCode: number = EXIT.failed): T {
+export function unwrap<T>(result: Result<T, Error>, exitCode: number = EXIT.failed): T {
   if (result.isOk()) return result.value
   throw new CommandFailure(describeError(result.error), exitCode)
 }
 
 /** A cell's text for people. */
-export function showCell(value: string | null): string {
+export function formatCell(value: string | null): string {
   return value === null ? '(default)' : `'${value}'`
 }
--- a/src/cli/sheetCommands.ts
+++ b/src/cli/csvCommands.ts
@@ -3,7 +3,7 @@
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import { diffTables, exportCsv, importCsv } from '../table/index.js'
-import { PlatformCommand, need } from './base.js'
+import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
 /** `table import FILE` */
@@ -20,10 +20,10 @@
     const sheet = importCsv(text)
     if (sheet.isErr())
       return this.fail(`${this.file}: ${sheet.error.message}`, EXIT.refused)
-    const { head } = need(await store.draft(editor))
+    const { head } = unwrap(await store.draft(editor))
     const edits = diffTables(head?.raw ?? {}, sheet.value, editor)
-    need(await store.discard(editor))
-    if (edits.length > 0) need(await store.edit(editor, edits))
+    unwrap(await store.discard(editor))
+    if (edits.length > 0) unwrap(await store.edit(editor, edits))
     this.print({ edits }, () => `draft of ${editor}: ${edits.length} edited cells`)
     return EXIT.ok
   }
@@ -38,7 +38,7 @@
   file = Option.String({ required: false })
 
   async run({ store }: Session): Promise<number> {
-    const raw = need(await store.head())?.raw ?? {}
+    const raw = unwrap(await store.head())?.raw ?? {}
     if (this.json) this.print(raw, () => '')
     else if (this.file === undefined) this.context.stdout.write(exportCsv(raw))
     else await writeFile(this.file, exportCsv(raw))
--- a/src/cli/draftCommands.ts
+++ b/src/cli/draftCommands.ts
@@ -10,7 +10,7 @@
   splitRow,
 } from '../table/index.js'
 import type { CellEdit, RawTable } from '../table/index.js'
-import { PlatformCommand, need, showCell } from './base.js'
+import { PlatformCommand, unwrap, formatCell } from './base.js'
 import type { Session } from './base.js'
 
 /** `table show` */
@@ -22,7 +22,7 @@
   draft = Option.Boolean('--draft', false, { description: 'with the edits of the draft' })
 
   async run({ store, editor }: Session): Promise<number> {
-    const view = need(await store.draft(editor))
+    const view = unwrap(await store.draft(editor))
     const base = view.head?.raw ?? {}
     const raw = this.draft ? applyEdits(base, view.draft.edits) : base
     this.print({ epoch: view.head?.epoch ?? 0, table: raw }, () =>
@@ -42,7 +42,7 @@
           splitRow(row)!.name,
           ...columns.map((column) => raw[row]?.[column] ?? '-'),
         ])
-      return [this.grid([kind, ...columns], lines)]
+      return [this.formatTable([kind, ...columns], lines)]
     })
     const title = `epoch ${view.head?.epoch ?? 0}${this.draft ? ' with the draft' : ''}`
     return [title, ...parts].join('\n\n')
@@ -79,7 +79,7 @@
       }
       edits.push({ row: this.row, column, value: this.cells[i + 1]! })
     }
-    const draft = need(await store.edit(editor, edits))
+    const draft = unwrap(await store.edit(editor, edits))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -96,7 +96,7 @@
 
   async run({ store, editor }: Session): Promise<number> {
     const edit = { row: this.row, column: this.column, value: null }
-    const draft = need(await store.edit(editor, [edit]))
+    const draft = unwrap(await store.edit(editor, [edit]))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -112,7 +112,7 @@
 
   async run({ store, editor }: Session): Promise<number> {
     const edit = { row: this.row, column: WHOLE_LINE, value: null }
-    const draft = need(await store.edit(editor, [edit]))
+    const draft = unwrap(await store.edit(editor, [edit]))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -126,7 +126,7 @@
   })
 
   async run({ store, editor }: Session): Promise<number> {
-    const { head, draft } = need(await store.draft(editor))
+    const { head, draft } = unwrap(await store.draft(editor))
     const base = head?.raw ?? {}
     const changes = diffTables(base, applyEdits(base, draft.edits), editor)
     this.print({ base: draft.base, changes }, () => this.describe(changes, base))
@@ -139,8 +139,8 @@
     return changes
       .map(({ row, column, value }) => {
         if (column === WHOLE_LINE) return red(`- ${row}`)
-        const before = showCell(base[row]?.[column] ?? null)
-        return `${row} ${column}: ${red(before)} -> ${green(showCell(value))}`
+        const before = formatCell(base[row]?.[column] ?? null)
+        return `${row} ${column}: ${red(before)} -> ${green(formatCell(value))}`
       })
       .join('\n')
   }
@@ -152,7 +152,7 @@
   static override usage = PlatformCommand.Usage({ description: 'throw the draft away' })
 
   async run({ store, editor }: Session): Promise<number> {
-    need(await store.discard(editor))
+    unwrap(await store.discard(editor))
     this.print({ discarded: true }, () => `draft of ${editor} discarded`)
     return EXIT.ok
   }
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -3,7 +3,7 @@
 import { DECISIONS_PREFIX } from '../keeper/index.js'
 import type { StoredEvent } from '../keeper/index.js'
 import { EXIT } from '../shared/index.js'
-import { PlatformCommand, need } from './base.js'
+import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
 /** Which fields of an event can name the thing asked about. */
@@ -16,9 +16,9 @@
 }
 /** Newest batches that are read. */
 const MAX_BATCHES = 500
-const READ_AT_ONCE = 20
+const READ_BATCH_SIZE = 20
 /** Fields that are told in their own columns. */
-const OWN_COLUMNS = new Set(['hall', 'node', 'component'])
+const SEPARATE_COLUMNS = new Set(['hall', 'node', 'component'])
 
 /** `explain KIND ID` */
 export class Explain extends PlatformCommand {
@@ -37,42 +37,42 @@
       return this.fail(`'${this.kind}' is none of ${kinds}`, EXIT.usage)
     }
     const events = await readEvents(session)
-    const story = events.filter(({ fields: values }) =>
+    const matching = events.filter(({ fields: values }) =>
       fields.some((field) => values[field] === this.id),
     )
-    this.print(story, () => {
-      if (story.length === 0) return `nothing is known of ${this.kind} '${this.id}'`
-      const lines = story.map(({ at, event, text, fields: values }) => [
+    this.print(matching, () => {
+      if (matching.length === 0) return `nothing is known of ${this.kind} '${this.id}'`
+      const lines = matching.map(({ at, event, text, fields: values }) => [
         at,
         String(values['hall']),
         event,
         text,
-        describe(values),
+        describeFields(values),
       ])
-      return this.grid(['at', 'hall', 'event', 'what', 'why'], lines)
+      return this.formatTable(['at', 'hall', 'event', 'what', 'why'], lines)
     })
-    return story.length > 0 ? EXIT.ok : EXIT.failed
+    return matching.length > 0 ? EXIT.ok : EXIT.failed
   }
 }
 
-function describe(values: Record<string, unknown>): string {
+function describeFields(values: Record<string, unknown>): string {
   return Object.entries(values)
-    .filter(([name, value]) => !OWN_COLUMNS.has(name) && value !== undefined)
+    .filter(([name, value]) => !SEPARATE_COLUMNS.has(name) && value !== undefined)
     .map(([name, value]) => `${name}: ${String(value)}`)
     .join(', ')
 }
 
 async function readEvents({ platform }: Session): Promise<StoredEvent[]> {
-  const names = need(await platform.listObjects(DECISIONS_PREFIX))
-  const stampOf = (name: string) => name.split('/').at(-1) ?? ''
+  const names = unwrap(await platform.listObjects(DECISIONS_PREFIX))
+  const timestampOf = (name: string) => name.split('/').at(-1) ?? ''
   const newest = names
-    .sort((a, b) => (stampOf(a) < stampOf(b) ? -1 : 1))
+    .sort((a, b) => (timestampOf(a) < timestampOf(b) ? -1 : 1))
     .slice(-MAX_BATCHES)
   const events: StoredEvent[] = []
-  for (let start = 0; start < newest.length; start += READ_AT_ONCE) {
-    const batch = newest.slice(start, start + READ_AT_ONCE)
+  for (let start = 0; start < newest.length; start += READ_BATCH_SIZE) {
+    const batch = newest.slice(start, start + READ_BATCH_SIZE)
     const found = await Promise.all(batch.map((name) => platform.getObject(name)))
-    for (const result of found) events.push(...(need(result) as StoredEvent[]))
+    for (const result of found) events.push(...(unwrap(result) as StoredEvent[]))
   }
   return events.sort((a, b) => (a.at < b.at ? -1 : 1))
 }
--- a/src/cli/fleetCommands.ts
+++ b/src/cli/fleetCommands.ts
@@ -10,7 +10,7 @@
 } from '../fleet/index.js'
 import { EXIT } from '../shared/index.js'
 import { RESERVE_POOL, checkTable } from '../table/index.js'
-import { PlatformCommand, need } from './base.js'
+import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
 async function readAll<T>(
@@ -18,7 +18,7 @@
   prefix: string,
   schema: z.ZodType<T>,
 ): Promise<T[]> {
-  const { rows } = need(await platform.changes([prefix], 0))
+  const { rows } = unwrap(await platform.changes([prefix], 0))
   rows.sort((a, b) => (a.key < b.key ? -1 : 1))
   return rows.flatMap((row) => schema.safeParse(row.value).data ?? [])
 }
@@ -44,7 +44,7 @@
         : '-',
     ])
     const head = ['hall', 'rack', 'VM', 'pool', 'state', 'incarnation', 'operation']
-    this.print(vms, () => this.grid(head, lines))
+    this.print(vms, () => this.formatTable(head, lines))
     return EXIT.ok
   }
 }
@@ -69,7 +69,7 @@
       return { hall, pool, vms: members.length, active, jobs: count }
     })
     this.print(pools, () =>
-      this.grid(
+      this.formatTable(
         ['hall', 'pool', 'VMs', 'active', 'jobs'],
         pools.map((each) => [
           each.hall ?? '',
@@ -104,7 +104,7 @@
       job.address ?? '-',
     ])
     const head = ['hall', 'service', 'job', 'VM', 'state', 'address']
-    this.print(jobs, () => this.grid(head, lines))
+    this.print(jobs, () => this.formatTable(head, lines))
     return EXIT.ok
   }
 }
@@ -119,7 +119,7 @@
   async run(session: Session): Promise<number> {
     const rows = await readAll(session, WAVE_PREFIX, waveRowSchema)
     const vms = await readAll(session, VM_ROOT, vmRowSchema)
-    const head = need(await session.store.head())
+    const head = unwrap(await session.store.head())
     const table = checkTable(head?.raw ?? {}).unwrapOr(undefined)
     const lines = rows.map((row) => {
       const pool = table?.waves.get(row.wave)?.pool
@@ -135,7 +135,7 @@
       ]
     })
     const heading = ['wave', 'hall', 'done', 'away now', 'state']
-    this.print(rows, () => this.grid(heading, lines))
+    this.print(rows, () => this.formatTable(heading, lines))
     return EXIT.ok
   }
 }
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -7,17 +7,17 @@
 import * as nodeCommands from './nodeCommands.js'
 import * as nodeJobCommands from './nodeJobCommands.js'
 import * as draftCommands from './draftCommands.js'
-import * as sheetCommands from './sheetCommands.js'
+import * as csvCommands from './csvCommands.js'
 import * as statusCommands from './statusCommands.js'
 
 /** Creates the command line with all commands. */
 export function createCli(): Cli {
   const cli = new Cli({ binaryLabel: 'rillshunt', binaryName: 'rillshunt' })
-  const own: CommandClass[] = [
+  const commands: CommandClass[] = [
     ...Object.values(nodeJobCommands),
     ...Object.values(nodeCommands),
     ...Object.values(draftCommands),
-    ...Object.values(sheetCommands),
+    ...Object.values(csvCommands),
     ...Object.values(statusCommands),
     TableAccept,
     Explain,
@@ -26,6 +26,6 @@
     Vms,
     Waves,
   ]
-  for (const command of [Builtins.HelpCommand, ...own]) cli.register(command)
+  for (const command of [Builtins.HelpCommand, ...commands]) cli.register(command)
   return cli
 }
--- a/src/cli/nodeCommands.ts
+++ b/src/cli/nodeCommands.ts
@@ -5,8 +5,8 @@
 import type { RowStore, Vm } from '../ports/index.js'
 import { EXIT } from '../shared/index.js'
 import { WAVES_TABLE, decodeWaveRow } from '../vms/index.js'
-import { AddressedCommand, StoreCommand, rowsOf } from './addressed.js'
-import { need } from './base.js'
+import { AddressedCommand, StoreCommand, readAllRows } from './addressedCommand.js'
+import { unwrap } from './base.js'
 
 /** `node owners` */
 export class NodeOwners extends StoreCommand {
@@ -16,11 +16,11 @@
   })
 
   async run(store: RowStore): Promise<number> {
-    const nodes = (await rowsOf(store, NODES_TABLE)).flatMap((row) => {
+    const nodes = (await readAllRows(store, NODES_TABLE)).flatMap((row) => {
       const node = decodeNode(row.value)
       return node ? { id: row.key, ...node } : []
     })
-    const owners = (await rowsOf(store, EPOCH_TABLE)).flatMap((row) => {
+    const owners = (await readAllRows(store, EPOCH_TABLE)).flatMap((row) => {
       const epoch = decodeEpoch(row.value)
       return epoch ? { service: row.part, ...epoch } : []
     })
@@ -29,7 +29,7 @@
       return [service, node || '(none)', hall, term]
     })
     this.print({ owners, nodes }, () =>
-      this.grid(['service', 'node', 'hall', 'term'], lines),
+      this.formatTable(['service', 'node', 'hall', 'term'], lines),
     )
     return EXIT.ok
   }
@@ -44,11 +44,11 @@
 
   async run(store: RowStore): Promise<number> {
     const begun = new Map<string, string[]>()
-    for (const row of await rowsOf(store, WAVES_TABLE)) {
+    for (const row of await readAllRows(store, WAVES_TABLE)) {
       begun.set(row.key, decodeWaveRow(row.value)?.begun ?? [])
     }
     const { operator } = platformDocuments
-    const rows = need(await store.read(operator.table, '')).rows
+    const rows = unwrap(await store.read(operator.table, '')).rows
     const waves = rows
       .filter(({ key }) => operator.isWave(key))
       .flatMap((row) => operator.decodeWave(row.value).unwrapOr(undefined) ?? [])
@@ -61,13 +61,13 @@
       vms.filter((vm) => !done.includes(vm)).join(' ') || '-',
     ])
     const head = ['wave', 'VMs', 'begun', 'at once', 'open']
-    this.print(waves, () => this.grid(head, lines))
+    this.print(waves, () => this.formatTable(head, lines))
     return EXIT.ok
   }
 }
 
 /** VMs of each pool, and how many of them are up. */
-function sumByPool(vms: Vm[]) {
+function countByPool(vms: Vm[]) {
   const names = [...new Set(vms.map(({ pool }) => pool))].sort()
   return names.map((pool) => {
     const members = vms.filter((vm) => vm.pool === pool)
@@ -96,7 +96,7 @@
       open: (address: string) => createCloudClient({ address }),
     }
     return this.withClient(service, async (cloud) => {
-      const vms = need(await cloud.list())
+      const vms = unwrap(await cloud.list())
       if (this.byPool) this.printPools(vms)
       else this.printVms(vms)
       return EXIT.ok
@@ -104,9 +104,9 @@
   }
 
   private printPools(vms: Vm[]): void {
-    const pools = sumByPool(vms)
+    const pools = countByPool(vms)
     const lines = pools.map(({ pool, vms: count, up }) => [pool, count, up])
-    this.print(pools, () => this.grid(['pool', 'VMs', 'up'], lines))
+    this.print(pools, () => this.formatTable(['pool', 'VMs', 'up'], lines))
   }
 
   private printVms(vms: Vm[]): void {
@@ -118,6 +118,6 @@
       state,
       targetId || '-',
     ])
-    this.print(vms, () => this.grid(head, lines))
+    this.print(vms, () => this.formatTable(head, lines))
   }
 }
--- a/src/cli/nodeJobCommands.ts
+++ b/src/cli/nodeJobCommands.ts
@@ -12,8 +12,8 @@
 import type { JobSpec, JobStatus, Progress } from '../jobs/index.js'
 import type { RowStore } from '../ports/index.js'
 import { EXIT } from '../shared/index.js'
-import { StoreCommand, rowsOf } from './addressed.js'
-import { askOwner, describeOwner } from './waitQuestion.js'
+import { StoreCommand, readAllRows } from './addressedCommand.js'
+import { askWhyJobWaits, describeAnswer } from './waitReason.js'
 
 /** The state of a job, or that its progress cannot be read: it is held. */
 type ListedStatus = JobStatus | 'unreadable'
@@ -39,10 +39,10 @@
 /** Every accepted job that is not over, with its progress and state. */
 async function readOpenJobs(store: RowStore): Promise<OpenJob[]> {
   const progress = new Map<string, Progress | undefined>()
-  for (const row of await rowsOf(store, PROGRESS_TABLE)) {
+  for (const row of await readAllRows(store, PROGRESS_TABLE)) {
     progress.set(row.key, decodeProgress(row.value))
   }
-  const entries = (await rowsOf(store, INTAKE_TABLE)).map((row) =>
+  const entries = (await readAllRows(store, INTAKE_TABLE)).map((row) =>
     decodeIntake(row, row.value),
   )
   const cancels = new Set(
@@ -50,23 +50,23 @@
   )
   return entries.flatMap((entry) => {
     if (entry.kind !== 'job') return []
-    const known = progress.get(entry.id)
+    const jobProgress = progress.get(entry.id)
     const cancelled = cancels.has(entry.id)
-    const isUnread = progress.has(entry.id) && !known
-    const status = isUnread ? 'unreadable' : storedStatus(cancelled, known)
-    return { job: entry.job, cancelled, progress: known, status }
+    const isUnread = progress.has(entry.id) && !jobProgress
+    const status = isUnread ? 'unreadable' : storedStatus(cancelled, jobProgress)
+    return { job: entry.job, cancelled, progress: jobProgress, status }
   })
 }
 
 /** What is kept of every job that is over. */
 async function readEndedJobs(store: RowStore): Promise<ListedJob[]> {
-  return (await rowsOf(store, ENDED_TABLE)).flatMap((row) => {
+  return (await readAllRows(store, ENDED_TABLE)).flatMap((row) => {
     const ended = decodeEnded(row.value)
     return ended ? { id: row.key, ...ended, status: ended.outcome } : []
   })
 }
 
-const listed = ({ job, status }: OpenJob): ListedJob => ({
+const toListedJob = ({ job, status }: OpenJob): ListedJob => ({
   id: job.id,
   queue: job.queue,
   service: job.service,
@@ -86,7 +86,7 @@
 
   async run(store: RowStore): Promise<number> {
     // The open ones first: a job that is over meanwhile is then among both, never in none.
-    const open = (await readOpenJobs(store)).map(listed)
+    const open = (await readOpenJobs(store)).map(toListedJob)
     const ended = await readEndedJobs(store)
     const byId = new Map([...open, ...ended].map((job) => [job.id, job]))
     const jobs = [...byId.values()]
@@ -102,7 +102,7 @@
       new Date(job.acceptedAtMs).toISOString(),
     ])
     const head = ['job', 'queue', 'service', 'state', 'tasks', 'accepted']
-    this.print(jobs, () => this.grid(head, lines))
+    this.print(jobs, () => this.formatTable(head, lines))
     return EXIT.ok
   }
 }
@@ -110,12 +110,12 @@
 /** What a progress row says of a step of the first repetition. */
 function countStep(progress: Progress | undefined, index: number, tasks: number) {
   const done = progress?.done[`0.${index}`] ?? []
-  const whole = done === 'all' || progress?.outcome === 'completed'
+  const isDone = done === 'all' || progress?.outcome === 'completed'
   const prefix = `0.${index}.`
   const failedRuns = Object.entries(progress?.failedRuns ?? {})
     .filter(([task]) => task.startsWith(prefix))
     .reduce((sum, [, runs]) => sum + runs.length, 0)
-  return { done: whole ? tasks : done.length, failedRuns }
+  return { done: isDone ? tasks : done.length, failedRuns }
 }
 
 /** `node explain JOB` */
@@ -135,13 +135,13 @@
       return [index, after.join(',') || '-', count, known.done, known.failedRuns]
     })
     const head = ['step', 'after', 'tasks', 'done', 'failed runs']
-    const owner = await askOwner(store, job)
+    const owner = await askWhyJobWaits(store, job)
     this.print({ ...found, owner }, () =>
       [
         `job ${job.id} of queue ${job.queue}: ${status}`,
         `service ${job.service}, accepted ${new Date(job.acceptedAtMs).toISOString()}`,
-        this.grid(head, lines),
-        describeOwner(owner),
+        this.formatTable(head, lines),
+        describeAnswer(owner),
       ].join('\n'),
     )
     return EXIT.ok
--- a/src/cli/statusCommands.ts
+++ b/src/cli/statusCommands.ts
@@ -7,12 +7,12 @@
   leaseRowSchema,
 } from '../fleet/index.js'
 import { EXIT } from '../shared/index.js'
-import { PlatformCommand, need } from './base.js'
+import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
-const DEFAULT_HISTORY = 20
+const DEFAULT_HISTORY_COUNT = 20
 /** A hall whose lease was not renewed for so long is shown as not reached, in ms. */
-const UNREACHED_AFTER_MS = 15_000
+const UNREACHABLE_AFTER_MS = 15_000
 
 /** `table find ID` */
 export class TableFind extends PlatformCommand {
@@ -23,7 +23,7 @@
   acceptId = Option.String()
 
   async run({ store }: Session): Promise<number> {
-    const found = need(await store.findAccept(this.acceptId))
+    const found = unwrap(await store.findAccept(this.acceptId))
     this.print({ accepted: found !== undefined, epoch: found?.epoch }, () =>
       found ? `accepted as epoch ${found.epoch}` : 'not accepted; the draft still stands',
     )
@@ -35,7 +35,7 @@
 export class TableHistory extends PlatformCommand {
   static override paths = [['table', 'history']]
   static override usage = PlatformCommand.Usage({ description: 'list accepted tables' })
-  count = Option.String('--count', String(DEFAULT_HISTORY), {
+  count = Option.String('--count', String(DEFAULT_HISTORY_COUNT), {
     description: 'how many, newest first',
   })
 
@@ -44,12 +44,12 @@
     if (!Number.isInteger(count) || count < 1) {
       return this.fail('--count: a whole number from 1', EXIT.usage)
     }
-    const tables = need(await store.history(count))
+    const tables = unwrap(await store.history(count))
     const entries = tables.map(({ epoch, editor, at, acceptId, changes }) => {
       return { epoch, editor, at, acceptId, changes }
     })
     this.print(entries, () =>
-      this.grid(
+      this.formatTable(
         ['epoch', 'editor', 'at', 'accept id', 'changed'],
         entries.map((each) => [
           each.epoch,
@@ -72,8 +72,8 @@
   })
 
   async run({ store, platform }: Session): Promise<number> {
-    const head = need(await store.head())
-    const rows = need(await platform.changes([HALL_PREFIX, LEASE_PREFIX], 0)).rows
+    const head = unwrap(await store.head())
+    const rows = unwrap(await platform.changes([HALL_PREFIX, LEASE_PREFIX], 0)).rows
     const renewed = new Map<string, number>()
     for (const row of rows) {
       const lease = leaseRowSchema.safeParse(row.value)
@@ -84,18 +84,21 @@
       const hall = hallRowSchema.safeParse(row.value)
       if (!row.key.startsWith(HALL_PREFIX) || !hall.success) return []
       const silentMs = Date.now() - (renewed.get(hall.data.hall) ?? 0)
-      return [{ ...hall.data, reached: silentMs < UNREACHED_AFTER_MS, silentMs }]
+      return [{ ...hall.data, reached: silentMs < UNREACHABLE_AFTER_MS, silentMs }]
     })
     halls.sort((a, b) => (a.hall < b.hall ? -1 : 1))
     this.print({ epoch: head?.epoch ?? 0, halls }, () => {
       const lines = halls.map(({ hall, epoch, reached, silentMs, entries }) => {
-        const away = entries.filter((each) => !each.reached).map((each) => each.id)
+        const unreachable = entries.filter((each) => !each.reached).map((each) => each.id)
         const state = reached
           ? 'reached'
           : `not reached for ${Math.round(silentMs / 1000)} s`
-        return [hall, epoch, state, away.join(' ') || '-']
+        return [hall, epoch, state, unreachable.join(' ') || '-']
       })
-      const table = this.grid(['hall', 'epoch in force', 'keeper', 'entries away'], lines)
+      const table = this.formatTable(
+        ['hall', 'epoch in force', 'keeper', 'entries away'],
+        lines,
+      )
       return `accepted epoch: ${head?.epoch ?? 0}\n\n${table}`
     })
     return EXIT.ok
--- a/src/cli/waitQuestion.ts
+++ b/src/cli/waitReason.ts
@@ -6,13 +6,13 @@
 import { waitReportSchema } from '../scheduler/index.js'
 import type { WaitReport } from '../scheduler/index.js'
 import { parseJson } from '../shared/index.js'
-import { rowsOf } from './addressed.js'
+import { readAllRows } from './addressedCommand.js'
 
 /** Longest wait for the owner, in ms; an operator then looks at its log. */
 const ASK_TIMEOUT_MS = 2000
 
 /** What the owner says; without a node nobody owns the service. */
-export interface OwnerWord {
+export interface OwnerAnswer {
   node: string | undefined
   /** Why it could not be asked. */
   failure: string | undefined
@@ -21,11 +21,14 @@
 }
 
 /** Asks the owner, as the rows name it. */
-export async function askOwner(store: RowStore, job: JobSpec): Promise<OwnerWord> {
-  const epochs = await rowsOf(store, EPOCH_TABLE)
+export async function askWhyJobWaits(
+  store: RowStore,
+  job: JobSpec,
+): Promise<OwnerAnswer> {
+  const epochs = await readAllRows(store, EPOCH_TABLE)
   const row = epochs.find(({ part }) => part === job.service)
   const node = (row && decodeEpoch(row.value)?.node) || undefined
-  const nodes = await rowsOf(store, NODES_TABLE)
+  const nodes = await readAllRows(store, NODES_TABLE)
   const nodeRow = nodes.find(({ key }) => key === node)
   const address = nodeRow && decodeNode(nodeRow.value)?.address
   if (address === undefined) return { node, failure: 'no address', wait: undefined }
@@ -47,7 +50,7 @@
 }
 
 /** One line for an operator. */
-export function describeOwner({ node, failure, wait }: OwnerWord): string {
+export function describeAnswer({ node, failure, wait }: OwnerAnswer): string {
   if (node === undefined) return 'no node owns the service: the job waits for one'
   if (failure !== undefined) return `its owner ${node} could not be asked: ${failure}`
   if (!wait) return `its owner ${node} says that it does not wait`
--- a/src/config/nodeConfig.ts
+++ b/src/config/nodeConfig.ts
@@ -7,7 +7,7 @@
 import type { Result } from 'neverthrow'
 import type { z } from 'zod'
 import type { ConfigError } from '../shared/index.js'
-import { HINTS, nodeConfigSchema } from './nodeSchema.js'
+import { KEYS_WITH_FALLBACK, nodeConfigSchema } from './nodeSchema.js'
 import type { NodeConfig } from './nodeSchema.js'
 import { INLINE_SOURCE, loadSettings, resolveSections } from './resolveConfig.js'
 import type { Sections } from './resolveConfig.js'
@@ -20,41 +20,41 @@
 }
 
 /** Settings sorted into those that are used and the names of the others. */
-interface Sorted {
+interface SeparatedSettings {
   used: Sections
   ignored: string[]
 }
 
 /** Why a value is not used; undefined when it is. */
-function whyIgnored(section: string, key: string, value: unknown): string | undefined {
+function reasonIgnored(section: string, key: string, value: unknown): string | undefined {
   const shape: z.ZodRawShape = nodeConfigSchema.shape[section as keyof NodeConfig].shape
   const schema = shape[key] as z.ZodType | undefined
   if (!schema) return 'unknown key'
-  if (!HINTS[section]?.includes(key)) return undefined
+  if (!KEYS_WITH_FALLBACK[section]?.includes(key)) return undefined
   const res = schema.safeParse(value)
   return res.success ? undefined : res.error.issues[0]?.message
 }
 
-function sortOut(user: Record<string, unknown>): Sorted {
-  const sorted: Sorted = { used: {}, ignored: [] }
+function separateIgnored(user: Record<string, unknown>): SeparatedSettings {
+  const result: SeparatedSettings = { used: {}, ignored: [] }
   for (const [section, keys] of Object.entries(user)) {
     if (typeof keys !== 'object' || keys === null) {
-      sorted.ignored.push(`${section}: stands before any section`)
+      result.ignored.push(`${section}: stands before any section`)
       continue
     }
     if (!Object.hasOwn(nodeConfigSchema.shape, section)) {
-      sorted.ignored.push(`[${section}]: unknown section`)
+      result.ignored.push(`[${section}]: unknown section`)
       continue
     }
     const used: Record<string, unknown> = {}
     for (const [key, value] of Object.entries(keys)) {
-      const reason = whyIgnored(section, key, value)
+      const reason = reasonIgnored(section, key, value)
       if (reason === undefined) used[key] = value
-      else sorted.ignored.push(`[${section}] ${key}: ${reason}`)
+      else result.ignored.push(`[${section}] ${key}: ${reason}`)
     }
-    sorted.used[section] = used
+    result.used[section] = used
   }
-  return sorted
+  return result
 }
 
 /** Reads settings from INI text; keys without a value count as absent. */
@@ -62,10 +62,10 @@
   text: string,
   source: string = INLINE_SOURCE,
 ): Result<LoadedNodeConfig, ConfigError> {
-  const filled = text.replace(/^[a-z_]+ *= *$/gm, '')
-  const { used, ignored } = sortOut(parse(filled))
+  const withoutEmptyKeys = text.replace(/^[a-z_]+ *= *$/gm, '')
+  const { used, ignored } = separateIgnored(parse(withoutEmptyKeys))
   const cfg = resolveSections(nodeConfigSchema, used, source)
-  return cfg.map((each) => ({ cfg: each, ignored }))
+  return cfg.map((resolved) => ({ cfg: resolved, ignored }))
 }
 
 /** Reads settings from an INI file. */
--- a/src/config/nodeSchema.ts
+++ b/src/config/nodeSchema.ts
@@ -2,10 +2,10 @@
 import { z } from 'zod'
 import {
   identifierList,
-  ipNumber,
+  ipAddress,
   nodeName,
   port,
-  positive,
+  positiveNumber,
   socketAddress,
 } from './values.js'
 
@@ -39,13 +39,13 @@
     /** Changes nothing by itself; printed in every log line. @default 'entry' */
     role: nodeName().prefault('entry'),
     /** Cores that it may use; stronger nodes own services first. @default 1 */
-    cpu_share: positive().prefault('1'),
+    cpu_share: positiveNumber().prefault('1'),
     /** Bandwidth of its link, in Mbit/s. @default 1000 */
-    link_mbps: positive().prefault('1000'),
+    link_mbps: positiveNumber().prefault('1000'),
   }),
   listen: section({
     /** IP number at which other nodes reach this one. Required. */
-    address: ipNumber(),
+    address: ipAddress(),
     /** Where callers come in. Required. */
     callers: socketAddress(),
     /** Where the platform asks whether the node is ready. Required. */
@@ -69,7 +69,7 @@
     /** Where VMs are controlled; without it pools and waves are left alone. */
     address: socketAddress().optional(),
     /** Orders that it takes in a second, from all nodes together. @default 64 */
-    orders_per_second: positive().prefault('64'),
+    orders_per_second: positiveNumber().prefault('64'),
   }),
   advice: section({
     /** Where the advice service answers; needed only by queues that have a policy. */
@@ -89,7 +89,7 @@
  * Keys without which a node can serve: one that cannot be read gets its default, and the
  * log says so. An address or a way to speak that cannot be used stops a node, rightly.
  */
-export const HINTS: Record<string, readonly string[]> = {
+export const KEYS_WITH_FALLBACK: Record<string, readonly string[]> = {
   node: ['role', 'cpu_share', 'link_mbps'],
   listen: ['metrics_port'],
   cloud: ['orders_per_second'],
--- a/src/config/resolveConfig.ts
+++ b/src/config/resolveConfig.ts
@@ -20,10 +20,12 @@
   user: Sections,
   source: string,
 ): Result<z.output<S>, ConfigError> {
-  const absent = Object.keys(schema.shape).map((name) => [name, {}])
-  const checked = schema.safeParse({ ...Object.fromEntries(absent), ...user })
+  const emptySections = Object.keys(schema.shape).map((name) => [name, {}])
+  const checked = schema.safeParse({ ...Object.fromEntries(emptySections), ...user })
   if (checked.success) return ok(checked.data)
-  const lines = checked.error.issues.flatMap((each) => describeIssue(schema, each, user))
+  const lines = checked.error.issues.flatMap((issue) =>
+    describeIssue(schema, issue, user),
+  )
   return err(configError(lines.map((line) => `${source}: ${line}`).join('\n')))
 }
 
@@ -32,14 +34,14 @@
   text: string,
   source: string,
 ): Result<z.output<S>, ConfigError> {
-  const stray = parse(text)
-  for (const [key, value] of Object.entries(stray)) {
+  const parsed = parse(text)
+  for (const [key, value] of Object.entries(parsed)) {
     if (typeof value === 'object' && value !== null) continue
     const sections = Object.keys(schema.shape).join(', ')
     const message = `key '${key}' stands before any section; allowed sections: ${sections}`
     return err(configError(`${source}: ${message}`))
   }
-  return resolveSections(schema, stray as Sections, source)
+  return resolveSections(schema, parsed as Sections, source)
 }
 
 /** Checks settings given as an object; the errors name section and key. */
@@ -144,6 +146,6 @@
   section: string,
   schema: z.ZodObject = configSchema,
 ): string[] {
-  const found = schema.shape[section]
-  return found instanceof z.ZodObject ? Object.keys(found.shape) : []
+  const sectionSchema = schema.shape[section]
+  return sectionSchema instanceof z.ZodObject ? Object.keys(sectionSchema.shape) : []
 }
--- a/src/config/schema.ts
+++ b/src/config/schema.ts
@@ -7,10 +7,10 @@
   duration,
   httpUrl,
   identifier,
-  ipNumber,
+  ipAddress,
   peerAddress,
   port,
-  share,
+  fraction,
   size,
   toggle,
   wholeNumber,
@@ -38,7 +38,7 @@
    * IP number of every listener.
    * @default '127.0.0.1'
    */
-  address: ipNumber().prefault('127.0.0.1'),
+  address: ipAddress().prefault('127.0.0.1'),
   /**
    * Port for callers; 0 takes a free one.
    * @default 7080
@@ -98,7 +98,7 @@
    * Retries allowed per fresh request, on average.
    * @default 0.1
    */
-  retry_share: share().prefault('0.1'),
+  retry_share: fraction().prefault('0.1'),
   /**
    * Bodies up to this size are read before routing and can be sent again.
    * @default '64KiB'
--- a/src/config/values.ts
+++ b/src/config/values.ts
@@ -7,7 +7,7 @@
 
 const DURATION_UNITS: Record<string, number> = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 }
 const SIZE_UNITS: Record<string, number> = { B: 1, KiB: 1024, MiB: 1024 ** 2 }
-const SWITCH_WORDS: Record<string, boolean> = {
+const BOOLEAN_WORDS: Record<string, boolean> = {
   yes: true,
   on: true,
   true: true,
@@ -16,16 +16,16 @@
   false: false,
 }
 
-function withUnit(text: string, units: Record<string, number>): number | undefined {
+function parseWithUnit(text: string, units: Record<string, number>): number | undefined {
   const match = /^(\d+(?:\.\d+)?)\s*([A-Za-z]+)$/.exec(text.trim())
   const factor = units[match?.[2] ?? '']
   if (!match || factor === undefined) return undefined
   return Math.round(Number(match[1]) * factor)
 }
 
-function parsed<T>(allowed: string, read: (text: string) => T | undefined) {
+function textValue<T>(allowed: string, parse: (text: string) => T | undefined) {
   return z.unknown().transform((raw, ctx): T => {
-    const value = read(String(raw))
+    const value = parse(String(raw))
     if (value !== undefined) return value
     ctx.addIssue({ code: 'custom', message: `'${String(raw)}' is not ${allowed}` })
     return z.NEVER
@@ -34,38 +34,38 @@
 
 /** A length of time, in milliseconds. */
 export const duration = () =>
-  parsed('a duration with a unit (ms, s, m, h), such as 250ms', (text) =>
-    withUnit(text, DURATION_UNITS),
+  textValue('a duration with a unit (ms, s, m, h), such as 250ms', (text) =>
+    parseWithUnit(text, DURATION_UNITS),
   )
 
 /** An amount of bytes. */
 export const size = () =>
-  parsed('a size with a unit (B, KiB, MiB), such as 64KiB', (text) =>
-    withUnit(text, SIZE_UNITS),
+  textValue('a size with a unit (B, KiB, MiB), such as 64KiB', (text) =>
+    parseWithUnit(text, SIZE_UNITS),
   )
 
 /** A switch. */
 export const toggle = () =>
-  parsed('one of yes, no, on, off, true, false', (text) => SWITCH_WORDS[text])
+  textValue('one of yes, no, on, off, true, false', (text) => BOOLEAN_WORDS[text])
 
 /** A whole number within bounds. */
 export const wholeNumber = (min: number, max: number) =>
-  parsed(`a whole number from ${min} to ${max}`, (text) => {
+  textValue(`a whole number from ${min} to ${max}`, (text) => {
     const value = Number(text)
-    const fits = /^\d+$/.test(text) && value >= min && value <= max
-    return fits ? value : undefined
+    const isInRange = /^\d+$/.test(text) && value >= min && value <= max
+    return isInRange ? value : undefined
   })
 
 /** A part of one, from 0 to 1. */
-export const share = () =>
-  parsed('a number from 0 to 1', (text) => {
+export const fraction = () =>
+  textValue('a number from 0 to 1', (text) => {
     const value = Number(text)
     return text.trim() !== '' && value >= 0 && value <= 1 ? value : undefined
   })
 
 /** A number above 0. */
-export const positive = () =>
-  parsed('a number above 0', (text) => {
+export const positiveNumber = () =>
+  textValue('a number above 0', (text) => {
     const value = Number(text)
     return text.trim() !== '' && value > 0 && Number.isFinite(value) ? value : undefined
   })
@@ -74,8 +74,8 @@
 export const port = () => wholeNumber(0, 65_535)
 
 /** An IP number. Host names are refused: a process must not need a name service. */
-export const ipNumber = () =>
-  parsed('an IP number (host names are not allowed), such as 10.1.0.4', (text) =>
+export const ipAddress = () =>
+  textValue('an IP number (host names are not allowed), such as 10.1.0.4', (text) =>
     isIP(text) ? text : undefined,
   )
 
@@ -83,7 +83,7 @@
 
 /** The name of a node, data hall or region. */
 export const identifier = () =>
-  parsed('a name of letters, digits and dashes, at most 63 long', (text) =>
+  textValue('a name of letters, digits and dashes, at most 63 long', (text) =>
     IDENTIFIER.test(text) ? text : undefined,
   )
 
@@ -92,13 +92,13 @@
 
 /** The name that the platform gives to a node or a data hall: printable, without blanks. */
 export const nodeName = () =>
-  parsed(`a printable name without blanks, at most ${MAX_NODE_NAME} long`, (text) =>
+  textValue(`a printable name without blanks, at most ${MAX_NODE_NAME} long`, (text) =>
     /^[!-~]+$/.test(text) && text.length <= MAX_NODE_NAME ? text : undefined,
   )
 
 /** An HTTP address by IP number. */
 export const httpUrl = () =>
-  parsed('an http URL by IP number, such as http://10.1.0.4:7000', (text) => {
+  textValue('an http URL by IP number, such as http://10.1.0.4:7000', (text) => {
     if (!URL.canParse(text)) return undefined
     const url = new URL(text)
     const host = url.hostname.replace(/^\[|\]$/g, '')
@@ -117,7 +117,7 @@
 
 /** A peer's data hall and address. */
 export const peerAddress = () =>
-  parsed('a data hall and an address, such as oslo-1 10.1.0.4:7082', (text) => {
+  textValue('a data hall and an address, such as oslo-1 10.1.0.4:7082', (text) => {
     const [, hall, host, portText, role] = PEER_PATTERN.exec(text.trim()) ?? []
     if (!hall || !host || !isIP(host) || Number(portText) > 65_535) return undefined
     const peer: PeerAddress = {
@@ -131,7 +131,7 @@
 
 /** An address by IP number, as `IP:PORT`. */
 export const socketAddress = () =>
-  parsed('an address by IP number, such as 10.1.0.4:7080', (text) => {
+  textValue('an address by IP number, such as 10.1.0.4:7080', (text) => {
     const [, host, portText] = /^(.+):(\d+)$/.exec(text.trim()) ?? []
     if (!host || !isIP(host) || Number(portText) > 65_535) return undefined
     return `${host}:${portText}`
@@ -139,7 +139,7 @@
 
 /** A list of names, separated by commas. */
 export const identifierList = () =>
-  parsed('a list of names, such as base,drain', (text) => {
+  textValue('a list of names, such as base,drain', (text) => {
     const names = text.split(',').map((name) => name.trim())
     return names.every((name) => IDENTIFIER.test(name)) ? names : undefined
   })
--- a/src/peer/__tests__/lateProcess.spec.ts
+++ b/src/peer/__tests__/blockedProcess.spec.ts
@@ -6,8 +6,8 @@
 import { resolveConfig } from '../../config/index.js'
 import { createMetrics, monotonicMs, sleep } from '../../shared/index.js'
 import { NodeReportSchema } from '../gen/peer_pb.js'
-import { callPatiently } from '../patience.js'
-import { listenForPeers, makePeer } from '../peerLink.js'
+import { callWithTimeout } from '../callWithTimeout.js'
+import { listenForPeers, createPeer } from '../peerLink.js'
 import { createMeteredAgent, createTrafficMeter } from '../traffic.js'
 
 /** Time between two syncs of the peer of these tests, in ms. */
@@ -16,24 +16,24 @@
 const BLOCKED_MS = 400
 
 /** Keeps the process from reading anything for so long. */
-function block(ms: number): void {
+function blockEventLoop(ms: number): void {
   const endsAt = monotonicMs() + ms
   while (monotonicMs() < endsAt);
 }
 
-function spokenPeer() {
+function peerWithReport() {
   const address = { hall: 'h', host: '127.0.0.1', port: 1, role: 'entry' as const }
-  const peer = makePeer('p', address, INTERVAL_MS, new Agent())
-  peer.hear(create(NodeReportSchema, { node: 'p', hall: 'h' }))
+  const peer = createPeer('p', address, INTERVAL_MS, new Agent())
+  peer.recordReport(create(NodeReportSchema, { node: 'p', hall: 'h' }))
   return peer
 }
 
 /** A call whose answer has arrived once the process can read again. */
-function answeredMeanwhile(signal: AbortSignal | undefined): Promise<string> {
+function answerDuringBlock(signal: AbortSignal | undefined): Promise<string> {
   return new Promise((resolve, reject) => {
     signal?.addEventListener('abort', () => reject(signal.reason as Error))
     setImmediate(() => resolve('answer'))
-    block(BLOCKED_MS)
+    blockEventLoop(BLOCKED_MS)
   })
 }
 
@@ -45,38 +45,38 @@
 
 describe('a process that could not read for a while', () => {
   it('does not take its peers for silent', async (t) => {
-    const peer = spokenPeer()
-    block(BLOCKED_MS)
+    const peer = peerWithReport()
+    blockEventLoop(BLOCKED_MS)
     t.true(peer.isReached())
     // What has arrived meanwhile is read after the timers that are due.
-    setImmediate(() => peer.hear(peer.report!))
+    setImmediate(() => peer.recordReport(peer.report!))
     await sleep(0)
     t.true(peer.isReached())
-    peer.leave()
+    peer.stopWatching()
   })
 
   it('takes the answer that has arrived', async (t) => {
     // From here on timers that are due run before anything is read.
     await sleep(0)
-    const answer = await callPatiently(50, ({ signal }) => answeredMeanwhile(signal))
+    const answer = await callWithTimeout(50, ({ signal }) => answerDuringBlock(signal))
     t.is(answer, 'answer')
   })
 })
 
 describe('a peer', () => {
   it('is not reached before it has spoken, nor once it stays silent', async (t) => {
-    const peer = spokenPeer()
+    const peer = peerWithReport()
     t.true(peer.isReached())
     while (peer.isReached()) await sleep(INTERVAL_MS)
-    peer.hear(peer.report!)
+    peer.recordReport(peer.report!)
     t.true(peer.isReached())
-    peer.leave()
-    peer.hear(peer.report!)
+    peer.stopWatching()
+    peer.recordReport(peer.report!)
     t.false(peer.isReached())
   })
 
   it('that does not answer ends the call', async (t) => {
-    const call = callPatiently(50, ({ signal }) => unanswered(signal))
+    const call = callWithTimeout(50, ({ signal }) => unanswered(signal))
     const error = await t.throwsAsync(call, { instanceOf: ConnectError })
     t.is(error.code, Code.DeadlineExceeded)
   })
@@ -85,17 +85,17 @@
     const stopping = new AbortController()
     const hour = 3_600_000
     const run = ({ signal }: { signal?: AbortSignal }) => unanswered(signal)
-    const call = callPatiently(hour, run, stopping.signal)
+    const call = callWithTimeout(hour, run, stopping.signal)
     stopping.abort()
     const error = await t.throwsAsync(call, { instanceOf: ConnectError })
     t.is(error.code, Code.Canceled)
-    const late = callPatiently(hour, run, stopping.signal)
+    const late = callWithTimeout(hour, run, stopping.signal)
     await t.throwsAsync(late, { instanceOf: ConnectError })
   })
 })
 
 /** Time after which the agent closes an idle connection, in ms; the types leave it out. */
-const idleTimeOf = (agent: Agent) =>
+const idleTimeoutMs = (agent: Agent) =>
   (agent as unknown as { options: { timeout: number } }).options.timeout
 
 describe('an idle connection between processes', () => {
@@ -110,7 +110,7 @@
     const server = await listenForPeers(cfg, () => {}, meter)
     t.teardown(() => server.close())
     const { address, port } = server.address() as AddressInfo
-    const hint = await new Promise<string>((resolve, reject) => {
+    const keepAliveHeader = await new Promise<string>((resolve, reject) => {
       const req = get({ host: address, port, agent }, (res) => {
         res.resume()
         resolve(String(res.headers['keep-alive']))
@@ -118,8 +118,8 @@
       req.on('error', reject)
     })
     agent.destroy()
-    const keptMs = Number(/^timeout=(\d+)$/.exec(hint)?.[1]) * 1000
+    const keptMs = Number(/^timeout=(\d+)$/.exec(keepAliveHeader)?.[1]) * 1000
     // Twice as long: a timer of the calling side may be late as well.
-    t.true(keptMs >= 2 * idleTimeOf(agent), hint)
+    t.true(keptMs >= 2 * idleTimeoutMs(agent), keepAliveHeader)
   })
 })
--- a/src/peer/__tests__/peers.spec.ts
+++ b/src/peer/__tests__/peers.spec.ts
@@ -131,8 +131,10 @@
         await res.body.dump()
         return res.statusCode
       }
-      const stranger = Buffer.from('{"report":{"node":"x","hall":"h1","epoch":"99"}}')
-      t.is(await send('Sync', 'application/json', stranger), 403)
+      const unknownPeerReport = Buffer.from(
+        '{"report":{"node":"x","hall":"h1","epoch":"99"}}',
+      )
+      t.is(await send('Sync', 'application/json', unknownPeerReport), 403)
       await fc.assert(
         fc.asyncProperty(method, type, body, async (name, contentType, bytes) => {
           t.true((await send(name, contentType, bytes)) >= 200)
--- a/src/peer/loans.ts
+++ b/src/peer/loans.ts
@@ -3,14 +3,14 @@
 import type { LoanMessage } from '../entry/index.js'
 import { LoansSchema } from './gen/peer_pb.js'
 import type { Loans } from './gen/peer_pb.js'
-import { MAX_LOADS } from './constants.js'
+import { MAX_SERVICE_LOADS } from './constants.js'
 
 /** As it is sent. */
 export function encodeLoans(message: LoanMessage): Loans {
   return create(LoansSchema, {
     life: BigInt(message.life),
     peerLife: BigInt(message.peerLife),
-    lines: message.lines.slice(0, MAX_LOADS),
+    lines: message.lines.slice(0, MAX_SERVICE_LOADS),
   })
 }
 
--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -16,21 +16,21 @@
   CALL_TIMEOUT_MS,
   CLOSE_GRACE_MS,
   LOST_AFTER_MS,
-  MAX_LEAVING,
-  MAX_LOADS,
-  MAX_STOPPING,
+  MAX_LEAVING_VMS,
+  MAX_SERVICE_LOADS,
+  MAX_REPORTED_JOBS,
   REMOTE_SYNC_INTERVAL_MS,
-  SILENT_INTERVALS,
+  FALLBACK_SYNC_INTERVALS,
   SYNC_INTERVAL_MS,
 } from './constants.js'
 import { NodeReportSchema, PeerService } from './gen/peer_pb.js'
 import type { Loans, NodeReport } from './gen/peer_pb.js'
 import { decodeLoans, encodeLoans } from './loans.js'
 import { createOncePeers, onceRoutes } from './oncePeers.js'
-import { callPatiently } from './patience.js'
-import { isOverBounds, listenForPeers, makePeer } from './peerLink.js'
+import { callWithTimeout } from './callWithTimeout.js'
+import { exceedsLimits, listenForPeers, createPeer } from './peerLink.js'
 import type { Peer, PeerState } from './peerLink.js'
-import { createSharing } from './sharing.js'
+import { createDataSharing } from './sharing.js'
 import { createMeteredAgent, createTrafficMeter } from './traffic.js'
 
 /** The part of a report that only the entry knows. */
@@ -53,7 +53,7 @@
   /** Sets what the entry adds. */
   setExchange(exchange: EntryExchange): void
   /** Sets who fills the report. */
-  setReportSource(source: ReportSource): void
+  setReportSource(reportSource: ReportSource): void
   /** Calls back after each report of a peer. */
   subscribe(listener: () => void): () => void
   /** Syncs with the peers of the own hall now. */
@@ -77,7 +77,7 @@
   metrics: Metrics
 }
 
-const EMPTY_SOURCE: ReportSource = () => ({
+const EMPTY_REPORT_SOURCE: ReportSource = () => ({
   routes: false,
   leaving: [],
   loads: [],
@@ -89,15 +89,15 @@
 export async function createPeerNetwork(opts: PeerNetworkOptions): Promise<PeerNetwork> {
   const { cfg, rows, table, log, metrics } = opts
   const stopping = createStopController()
-  let source = EMPTY_SOURCE
+  let reportSource = EMPTY_REPORT_SOURCE
   let exchange: EntryExchange | undefined
   const listeners = new Set<() => void>()
-  const sharing = createSharing({ hall: cfg.node.hall, table, rows })
+  const sharing = createDataSharing({ hall: cfg.node.hall, table, rows })
   const meter = createTrafficMeter(metrics)
   const agent = createMeteredAgent(meter)
 
   const ownReport = (): NodeReport => {
-    const { routes, leaving, loads, stopping: jobs, draining } = source()
+    const { routes, leaving, loads, stopping: jobs, draining } = reportSource()
     return create(NodeReportSchema, {
       node: cfg.node.id,
       hall: cfg.node.hall,
@@ -105,10 +105,10 @@
       epoch: BigInt(sharing.epoch()),
       revision: BigInt(rows.revision()),
       routes,
-      leaving: leaving.slice(0, MAX_LEAVING),
-      loads: loads.slice(0, MAX_LOADS),
-      stopping: jobs.slice(0, MAX_STOPPING),
-      draining: draining.slice(0, MAX_STOPPING),
+      leaving: leaving.slice(0, MAX_LEAVING_VMS),
+      loads: loads.slice(0, MAX_SERVICE_LOADS),
+      stopping: jobs.slice(0, MAX_REPORTED_JOBS),
+      draining: draining.slice(0, MAX_REPORTED_JOBS),
     })
   }
 
@@ -118,11 +118,11 @@
   const peers = new Map<string, Peer>()
   for (const [id, address] of Object.entries(cfg.peers)) {
     if (id === cfg.node.id) continue
-    peers.set(id, makePeer(id, address, intervalOf(address.hall), agent))
+    peers.set(id, createPeer(id, address, intervalOf(address.hall), agent))
   }
 
-  function heard(report: NodeReport | undefined): void {
-    if (!report || isOverBounds(report)) {
+  function receiveReport(report: NodeReport | undefined): void {
+    if (!report || exceedsLimits(report)) {
       log.event('peerMessageRefused', { peer: report?.node, reason: 'over the bounds' })
       throw new ConnectError('report is over the bounds', Code.InvalidArgument)
     }
@@ -134,16 +134,16 @@
       })
       throw new ConnectError(`'${report.node}' is no peer of mine`, Code.PermissionDenied)
     }
-    peer.hear(report)
-    if (peer.lost) log.event('peerBack', { peer: peer.id, hall: report.hall })
-    peer.lost = false
+    peer.recordReport(report)
+    if (peer.isLost) log.event('peerBack', { peer: peer.id, hall: report.hall })
+    peer.isLost = false
     for (const listener of listeners) listener()
     const epoch = Number(report.epoch)
-    if (epoch > sharing.epoch()) void learnTable(peer, epoch)
+    if (epoch > sharing.epoch()) void fetchNewerTable(peer, epoch)
   }
 
   /** Gets a newer table from the platform or, when that is away, from the peer. */
-  async function learnTable(peer: Peer, epoch: number): Promise<void> {
+  async function fetchNewerTable(peer: Peer, epoch: number): Promise<void> {
     await readPlatformTable(opts.platform, table)
     if (epoch <= sharing.epoch()) return
     await call(peer, 'fetchTable', (options) => sharing.fetchTable(peer.client, options))
@@ -154,8 +154,8 @@
     return message && encodeLoans(message)
   }
 
-  function learnLoans(peer: string, loans: Loans | undefined): void {
-    if (!loans || loans.lines.length > MAX_LOADS) return
+  function receiveLoans(peer: string, loans: Loans | undefined): void {
+    if (!loans || loans.lines.length > MAX_SERVICE_LOADS) return
     exchange?.loans.receive(peer, decodeLoans(loans))
   }
 
@@ -165,18 +165,18 @@
     run: (options: CallOptions) => Promise<void>,
   ): Promise<void> {
     try {
-      await callPatiently(CALL_TIMEOUT_MS, run, stopping.signal)
+      await callWithTimeout(CALL_TIMEOUT_MS, run, stopping.signal)
       metrics.peerMessages.inc({ step, result: 'ok' })
     } catch (cause) {
       metrics.peerMessages.inc({ step, result: 'failed' })
-      noteSilence(peer, describeError(cause))
+      reportIfLost(peer, describeError(cause))
     }
   }
 
-  function noteSilence(peer: Peer, reason: string): void {
-    if (peer.lost || stopping.signal.aborted) return
+  function reportIfLost(peer: Peer, reason: string): void {
+    if (peer.isLost || stopping.signal.aborted) return
     if (peer.silentForMs() < LOST_AFTER_MS) return
-    peer.lost = true
+    peer.isLost = true
     log.event('peerLost', { peer: peer.id, hall: peer.address.hall, reason })
   }
 
@@ -184,19 +184,20 @@
     call(peer, 'sync', async (options) => {
       const message = { report: ownReport(), loans: loansFor(peer.id) }
       const res = await peer.client.sync(message, options)
-      heard(res.report)
-      learnLoans(peer.id, res.loans)
+      receiveReport(res.report)
+      receiveLoans(peer.id, res.loans)
     })
 
-  async function runPeer(peer: Peer): Promise<void> {
+  async function runSyncLoop(peer: Peer): Promise<void> {
     const local = peer.address.hall === cfg.node.hall
     const interval = intervalOf(peer.address.hall)
     // One side of a pair asks, since the answer carries the other's report; the other one
     // asks only while it hears nothing.
-    const asks = cfg.node.id < peer.id
+    const initiates = cfg.node.id < peer.id
     await sync(peer)
     while (!stopping.signal.aborted) {
-      if (asks || peer.silentForMs() > interval * SILENT_INTERVALS) await sync(peer)
+      if (initiates || peer.silentForMs() > interval * FALLBACK_SYNC_INTERVALS)
+        await sync(peer)
       if (local && rows.revision() === 0) {
         await call(peer, 'fetchRows', (options) =>
           sharing.fetchRows(peer.client, options),
@@ -219,15 +220,16 @@
   const routes = (router: ConnectRouter) =>
     router.service(PeerService, {
       sync(req) {
-        heard(req.report)
-        learnLoans(req.report!.node, req.loans)
+        receiveReport(req.report)
+        receiveLoans(req.report!.node, req.loans)
         return { report: ownReport(), loans: loansFor(req.report!.node) }
       },
       pushHead(req) {
         const peer = peers.get(req.node)
         if (!peer) throw new ConnectError('not in the settings', Code.PermissionDenied)
         if (peer.report) peer.report.epoch = req.epoch
-        if (Number(req.epoch) > sharing.epoch()) void learnTable(peer, Number(req.epoch))
+        if (Number(req.epoch) > sharing.epoch())
+          void fetchNewerTable(peer, Number(req.epoch))
         return { epoch: BigInt(sharing.epoch()) }
       },
       ...onceRoutes(
@@ -239,14 +241,14 @@
 
   const server = await listenForPeers(cfg, routes, meter)
   metrics.beforeScrape.push(meter.collect)
-  const tasks = [...peers.values()].map(runPeer)
+  const syncLoops = [...peers.values()].map(runSyncLoop)
 
   return {
     peers: () => [...peers.values()],
     ownReport,
     oncePeers: createOncePeers(cfg.node.id, (id) => peers.get(id)?.client),
     setExchange: (next) => (exchange = next),
-    setReportSource: (next) => (source = next),
+    setReportSource: (next) => (reportSource = next),
     subscribe(listener) {
       listeners.add(listener)
       return () => listeners.delete(listener)
@@ -268,8 +270,8 @@
       agent.destroy()
       server.closeAllConnections()
       await closed
-      await Promise.all(tasks)
-      for (const peer of peers.values()) peer.leave()
+      await Promise.all(syncLoops)
+      for (const peer of peers.values()) peer.stopWatching()
     },
   }
 }
--- a/src/peer/oncePeers.ts
+++ b/src/peer/oncePeers.ts
@@ -8,10 +8,10 @@
 import {
   CALL_TIMEOUT_MS,
   MAX_CLAIMS_PER_MESSAGE,
-  MEMORY_CALL_TIMEOUT_MS,
+  CLAIM_TRANSFER_TIMEOUT_MS,
 } from './constants.js'
 import type { Claim, PeerService } from './gen/peer_pb.js'
-import { callPatiently } from './patience.js'
+import { callWithTimeout } from './callWithTimeout.js'
 
 const stateSchema = z.enum(['running', 'answered', 'unknown'])
 const settleSchema = z.enum(['running', 'answered', 'unknown', 'not-run'])
@@ -20,7 +20,7 @@
 
 /** Calls to other entries by id. */
 export function createOncePeers(
-  own: string,
+  ownId: string,
   clientOf: (peer: string) => PeerClient | undefined,
 ): OncePeers {
   const client = (peer: string): PeerClient => {
@@ -30,8 +30,8 @@
   }
   return {
     async claim(peer, id, owner, token) {
-      const res = await callPatiently(CALL_TIMEOUT_MS, (options) =>
-        client(peer).claimId({ node: own, id, owner, token }, options),
+      const res = await callWithTimeout(CALL_TIMEOUT_MS, (options) =>
+        client(peer).claimId({ node: ownId, id, owner, token }, options),
       )
       if (res.verdict === 'first') return { kind: 'first' }
       const { reason, standIn } = res
@@ -39,20 +39,20 @@
       return { kind: 'repeat', state: stateSchema.parse(res.state) }
     },
     async settle(peer, id, state) {
-      await callPatiently(CALL_TIMEOUT_MS, (options) =>
-        client(peer).settle({ node: own, id, state }, options),
+      await callWithTimeout(CALL_TIMEOUT_MS, (options) =>
+        client(peer).settle({ node: ownId, id, state }, options),
       )
     },
     async collect(peer) {
-      const { claims, complete } = await callPatiently(
-        MEMORY_CALL_TIMEOUT_MS,
-        (options) => client(peer).collect({ node: own }, options),
+      const { claims, complete } = await callWithTimeout(
+        CLAIM_TRANSFER_TIMEOUT_MS,
+        (options) => client(peer).collect({ node: ownId }, options),
       )
       return { claims: decodeClaims(claims), complete }
     },
     async handOver(peer, legacy) {
-      const message = { node: own, ...encodeLegacy(legacy) }
-      await callPatiently(MEMORY_CALL_TIMEOUT_MS, (options) =>
+      const message = { node: ownId, ...encodeClaims(legacy) }
+      await callWithTimeout(CLAIM_TRANSFER_TIMEOUT_MS, (options) =>
         client(peer).handOver(message, options),
       )
     },
@@ -60,7 +60,7 @@
 }
 
 /** A list that is too long is cut, and is no whole memory then. */
-function encodeLegacy({ claims, complete }: Legacy) {
+function encodeClaims({ claims, complete }: Legacy) {
   const kept = claims.slice(-MAX_CLAIMS_PER_MESSAGE)
   const encoded = kept.map(({ id, state, ageMs, token }) => {
     return { id, state, ageMs: BigInt(Math.round(ageMs)), token }
@@ -82,7 +82,7 @@
   answer: () => Once['answer'] | undefined,
   isPeer: (id: string) => boolean,
 ): Pick<ServiceImpl<typeof PeerService>, OnceMethods> {
-  function of(node: string): Once['answer'] {
+  function answersFor(node: string): Once['answer'] {
     const found = answer()
     if (!isPeer(node))
       throw new ConnectError('not in the settings', Code.PermissionDenied)
@@ -91,7 +91,7 @@
   }
   return {
     claimId(req) {
-      const verdict = of(req.node).claim(req.id, req.owner, req.token)
+      const verdict = answersFor(req.node).claim(req.id, req.owner, req.token)
       const state = verdict.kind === 'repeat' ? verdict.state : ''
       const reason = verdict.kind === 'unsure' ? verdict.reason : ''
       const standIn = verdict.kind === 'unsure' && verdict.standIn
@@ -100,12 +100,12 @@
     settle(req) {
       const state = settleSchema.safeParse(req.state)
       if (!state.success) throw new ConnectError('no such state', Code.InvalidArgument)
-      of(req.node).settle(req.id, state.data)
+      answersFor(req.node).settle(req.id, state.data)
       return {}
     },
-    collect: (req) => encodeLegacy(of(req.node).collect(req.node)),
+    collect: (req) => encodeClaims(answersFor(req.node).collect(req.node)),
     handOver(req) {
-      const answer = of(req.node)
+      const answer = answersFor(req.node)
       const claims = fromThrowable(decodeClaims)(req.claims)
       if (claims.isErr()) throw new ConnectError('no such state', Code.InvalidArgument)
       answer.handOver(req.node, { claims: claims.value, complete: req.complete })
--- a/src/peer/peerLink.ts
+++ b/src/peer/peerLink.ts
@@ -7,16 +7,16 @@
 import type { PeerAddress, ResolvedConfig } from '../config/index.js'
 import { monotonicMs } from '../shared/index.js'
 import {
-  KEEP_ALIVE_MS,
-  MAX_LEAVING,
-  MAX_LOADS,
+  SERVER_IDLE_TIMEOUT_MS,
+  MAX_LEAVING_VMS,
+  MAX_SERVICE_LOADS,
   MAX_MESSAGE_BYTES,
-  MAX_STOPPING,
-  REACHED_INTERVALS,
+  MAX_REPORTED_JOBS,
+  MAX_REACHABLE_INTERVALS,
 } from './constants.js'
 import { PeerService } from './gen/peer_pb.js'
 import type { NodeReport } from './gen/peer_pb.js'
-import { createReach } from './reach.js'
+import { createReachability } from './reachability.js'
 import type { TrafficMeter } from './traffic.js'
 
 /** What a peer last said, and when. */
@@ -37,25 +37,25 @@
 /** A peer with what it takes to call it. */
 export interface Peer extends PeerState {
   client: Client<typeof PeerService>
-  lost: boolean
+  isLost: boolean
   /** Notes what it says. */
-  hear(report: NodeReport): void
+  recordReport(report: NodeReport): void
   /** Ends what is done about it; it counts as not reached from then on. */
-  leave(): void
+  stopWatching(): void
 }
 
 /** Whether a report has more entries than a sender may name. */
-export function isOverBounds(report: NodeReport): boolean {
+export function exceedsLimits(report: NodeReport): boolean {
   const { leaving, loads, stopping, draining } = report
-  if (leaving.length > MAX_LEAVING || loads.length > MAX_LOADS) return true
-  return stopping.length > MAX_STOPPING || draining.length > MAX_STOPPING
+  if (leaving.length > MAX_LEAVING_VMS || loads.length > MAX_SERVICE_LOADS) return true
+  return stopping.length > MAX_REPORTED_JOBS || draining.length > MAX_REPORTED_JOBS
 }
 
 /**
  * Prepares calls to a peer; nothing is connected yet.
  * @param intervalMs time between two syncs with it.
  */
-export function makePeer(
+export function createPeer(
   id: string,
   address: PeerAddress,
   intervalMs: number,
@@ -69,22 +69,22 @@
     useBinaryFormat: true,
     nodeOptions: { agent },
   })
-  const reach = createReach(intervalMs * REACHED_INTERVALS)
-  let heardAt = monotonicMs()
+  const reachability = createReachability(intervalMs * MAX_REACHABLE_INTERVALS)
+  let lastReportAt = monotonicMs()
   const peer: Peer = {
     id,
     address,
     report: undefined,
     client: createClient(PeerService, transport),
-    lost: false,
-    silentForMs: () => monotonicMs() - heardAt,
-    isReached: reach.isReached,
-    hear(report) {
+    isLost: false,
+    silentForMs: () => monotonicMs() - lastReportAt,
+    isReached: reachability.isReached,
+    recordReport(report) {
       peer.report = report
-      heardAt = monotonicMs()
-      reach.heard()
+      lastReportAt = monotonicMs()
+      reachability.noteMessage()
     },
-    leave: reach.stop,
+    stopWatching: reachability.stop,
   }
   return peer
 }
@@ -96,7 +96,7 @@
   meter: TrafficMeter,
 ): Promise<Server> {
   const adapter = connectNodeAdapter({ routes, readMaxBytes: MAX_MESSAGE_BYTES })
-  const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, adapter)
+  const server = createServer({ keepAliveTimeout: SERVER_IDLE_TIMEOUT_MS }, adapter)
   server.on('connection', meter.track)
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/src/peer/reach.ts
+++ b/src/peer/reachability.ts
@@ -3,9 +3,9 @@
 import type { SilenceWatch } from '../shared/index.js'
 
 /** What is known of a peer's silence. */
-export interface Reach {
+export interface Reachability {
   /** The peer has spoken. */
-  heard(): void
+  noteMessage(): void
   isReached(): boolean
   /** Ends the watch; the peer counts as not reached from then on. */
   stop(): void
@@ -13,16 +13,16 @@
 
 /**
  * Creates the watch over one peer, which is not reached until it has spoken.
- * @param ms silence that is borne, in which only time counts that this process could hear.
+ * @param timeoutMs silence that is borne, in which only time counts that this process could hear.
  */
-export function createReach(ms: number): Reach {
+export function createReachability(timeoutMs: number): Reachability {
   let watch: SilenceWatch | undefined
   let stopped = false
   return {
-    heard() {
+    noteMessage() {
       if (stopped) return
       if (watch) watch.heard()
-      else watch = watchSilence(ms, () => (watch = undefined))
+      else watch = watchSilence(timeoutMs, () => (watch = undefined))
     },
     isReached: () => watch !== undefined,
     stop() {
--- a/src/peer/sharing.ts
+++ b/src/peer/sharing.ts
@@ -13,7 +13,7 @@
 const rowsSchema = z.object({ rows: changesSchema.shape.rows })
 
 /** Gives and takes tables and rows. Calls reject when the peer's answer cannot be used. */
-export function createSharing(opts: {
+export function createDataSharing(opts: {
   hall: string
   table: TableHolder
   rows: RowWatch
@@ -42,8 +42,13 @@
     /** Fills an empty copy of the hall's rows. */
     async fetchRows(client: PeerClient, options: CallOptions): Promise<void> {
       const res = await client.fetchRows({ hall }, options)
-      const { rows: found } = rowsSchema.parse(JSON.parse(res.rowsJson))
-      rows.seed({ revision: Number(res.revision), rows: found, deleted: [], full: true })
+      const { rows: fetched } = rowsSchema.parse(JSON.parse(res.rowsJson))
+      rows.seed({
+        revision: Number(res.revision),
+        rows: fetched,
+        deleted: [],
+        full: true,
+      })
     },
   }
 }
--- a/src/peer/traffic.ts
+++ b/src/peer/traffic.ts
@@ -3,7 +3,7 @@
 import { createConnection } from 'node:net'
 import type { NetConnectOpts, Socket } from 'node:net'
 import type { Metrics } from '../shared/index.js'
-import { IDLE_MS } from './constants.js'
+import { CLIENT_IDLE_TIMEOUT_MS } from './constants.js'
 
 /** Counts what sockets carry. */
 export interface TrafficMeter {
@@ -14,34 +14,34 @@
 
 /** Creates a meter for one process. */
 export function createTrafficMeter(metrics: Metrics): TrafficMeter {
-  const counted = new Map<Socket, { received: number; sent: number }>()
+  const counts = new Map<Socket, { received: number; sent: number }>()
 
-  function count(socket: Socket): void {
-    const before = counted.get(socket)
+  function recordTraffic(socket: Socket): void {
+    const before = counts.get(socket)
     if (!before) return
     const { bytesRead: received, bytesWritten: sent } = socket
     metrics.peerBytes.inc({ direction: 'received' }, received - before.received)
     metrics.peerBytes.inc({ direction: 'sent' }, sent - before.sent)
-    counted.set(socket, { received, sent })
+    counts.set(socket, { received, sent })
   }
 
   return {
     track(socket) {
-      counted.set(socket, { received: 0, sent: 0 })
+      counts.set(socket, { received: 0, sent: 0 })
       socket.once('close', () => {
-        count(socket)
-        counted.delete(socket)
+        recordTraffic(socket)
+        counts.delete(socket)
       })
     },
     collect() {
-      for (const socket of counted.keys()) count(socket)
+      for (const socket of counts.keys()) recordTraffic(socket)
     },
   }
 }
 
 /** A keep-alive agent whose sockets are counted. */
 export function createMeteredAgent(meter: TrafficMeter): Agent {
-  const agent = new Agent({ keepAlive: true, timeout: IDLE_MS })
+  const agent = new Agent({ keepAlive: true, timeout: CLIENT_IDLE_TIMEOUT_MS })
   const connect = (options: NetConnectOpts): Socket => {
     const socket = createConnection(options)
     meter.track(socket)
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -28,9 +28,9 @@
 }
 
 /** Time between two looks at loans, in ms. */
-const LOAN_STEP_MS = 250
+const LOAN_INTERVAL_MS = 250
 /** Pause before peers that did not answer are asked for left memory again, in ms. */
-const RECOVER_PAUSE_MS = 1000
+const RECOVERY_RETRY_MS = 1000
 /** An entry that is off the list and silent for so long is gone, in ms. */
 const GONE_AFTER_MS = 30_000
 
@@ -48,7 +48,10 @@
   return peer?.isReached() ?? false
 }
 
-function isGoneBy(peers: PeerNetwork, view: TargetView): (entry: string) => boolean {
+function createGoneCheck(
+  peers: PeerNetwork,
+  view: TargetView,
+): (entry: string) => boolean {
   return (entry) => {
     const peer = peers.peers().find(({ id }) => id === entry)
     const silentMs = peer?.silentForMs() ?? Infinity
@@ -62,7 +65,7 @@
     needs: ['platform', 'rows', 'table', 'peers', 'metrics'],
     async start({ get, log }) {
       const peers = get('peers')
-      const inHall = entriesOf(cfg).filter(
+      const hallEntries = entriesOf(cfg).filter(
         ({ id, hall }) => hall === cfg.node.hall && id !== cfg.node.id,
       )
       const view = createTargetView({
@@ -71,13 +74,13 @@
         rows: get('rows'),
         table: get('table'),
         reachedEntries: () =>
-          inHall.map(({ id }) => id).filter((id) => isReached(peers, id)),
+          hallEntries.map(({ id }) => id).filter((id) => isReached(peers, id)),
         tellPeers: () => void peers.syncHall(),
         log,
         metrics: get('metrics'),
       })
       peers.subscribe(() =>
-        view.notePeerDraining(drainingElsewhere(peers, cfg.node.hall)),
+        view.notePeerDraining(jobsDrainingAtPeers(peers, cfg.node.hall)),
       )
       return view
     },
@@ -85,7 +88,7 @@
   })
 
 /** Jobs whose targets have told other entries of the hall that they drain. */
-function drainingElsewhere(peers: PeerNetwork, hall: string): Set<string> {
+function jobsDrainingAtPeers(peers: PeerNetwork, hall: string): Set<string> {
   const jobs = peers
     .peers()
     .filter((peer) => peer.address.hall === hall && isReached(peers, peer.id))
@@ -106,27 +109,27 @@
         entries: entriesOf(cfg),
         peers: peers.oncePeers,
         memoryMs: cfg.requests.once_memory,
-        firstLife: await isFirstLife(get('platform'), id),
+        firstLife: await isFirstIncarnation(get('platform'), id),
         isReached: (entry) => isReached(peers, entry),
-        isGone: isGoneBy(peers, get('view')),
+        isGone: createGoneCheck(peers, get('view')),
         now: monotonicMs,
         wallSeconds: () => Date.now() / 1000,
         log,
       })
       // Before this life claims anything: what was left for it must be taken back first.
       const stopping = createStopController()
-      let done = await once.recover()
-      const task = (async () => {
-        while (!done && !stopping.signal.aborted) {
-          await sleep(RECOVER_PAUSE_MS, stopping.signal)
-          if (!stopping.signal.aborted) done = await once.recover()
+      let isRecovered = await once.recover()
+      const recovery = (async () => {
+        while (!isRecovered && !stopping.signal.aborted) {
+          await sleep(RECOVERY_RETRY_MS, stopping.signal)
+          if (!stopping.signal.aborted) isRecovered = await once.recover()
         }
       })()
       return {
         ...once,
         async close() {
           stopping.abort()
-          await task
+          await recovery
           // Who is reached decides who may stand in.
           await peers.syncHall()
           await once.leave()
@@ -137,7 +140,7 @@
   })
 
 /** Whether the platform's table knows no earlier life; notes this one. */
-async function isFirstLife(platform: Platform, entry: string): Promise<boolean> {
+async function isFirstIncarnation(platform: Platform, entry: string): Promise<boolean> {
   const key = lifeKey(entry)
   const rows = await platform.read([key])
   if (rows.isErr() || rows.value.has(key)) return false
@@ -150,7 +153,7 @@
  * A service's limit, but not more than its targets have slots: beyond that, requests would
  * wait at targets, where an urgent one cannot pass them.
  */
-function usefulLimit(line: ServiceLine | undefined, halls: number): number {
+function effectiveLimit(line: ServiceLine | undefined, halls: number): number {
   if (!line) return 0
   return Math.min(line.limit, line.instances * line.slots * halls)
 }
@@ -174,10 +177,10 @@
         life: get('lifecycle').startedAt,
         entries: entries.map(({ id }) => id),
         services: () => services()?.keys() ?? [],
-        limitOf: (service) => usefulLimit(services()?.get(service), halls),
+        limitOf: (service) => effectiveLimit(services()?.get(service), halls),
         inFlight: (service) => loadOf(service).inFlight,
         queued: (service) => loadOf(service).queued,
-        isGone: isGoneBy(peers, view),
+        isGone: createGoneCheck(peers, view),
       })
       const router = createRouter({
         cfg,
@@ -191,18 +194,20 @@
       peers.setExchange({ loans: allotments, once: once.answer })
       peers.setReportSource(() => ({
         routes: true,
-        leaving: view.leaving().map((each) => ({ $typeName: LEAVING, ...each })),
-        loads: router.loads().map((each) => ({ $typeName: LOAD, ...each })),
-        stopping: view.stopping().map((each) => ({ $typeName: STOPPING, ...each })),
+        leaving: view.leaving().map((each) => ({ $typeName: LEAVING_VM_TYPE, ...each })),
+        loads: router.loads().map((each) => ({ $typeName: SERVICE_LOAD_TYPE, ...each })),
+        stopping: view
+          .stopping()
+          .map((each) => ({ $typeName: STOPPING_JOB_TYPE, ...each })),
         draining: view.draining(),
       }))
       return { ...router, allotments }
     },
   })
 
-const LEAVING = 'rillshunt.peer.v1.LeavingVm' as const
-const LOAD = 'rillshunt.peer.v1.ServiceLoad' as const
-const STOPPING = 'rillshunt.peer.v1.StoppingJob' as const
+const LEAVING_VM_TYPE = 'rillshunt.peer.v1.LeavingVm' as const
+const SERVICE_LOAD_TYPE = 'rillshunt.peer.v1.ServiceLoad' as const
+const STOPPING_JOB_TYPE = 'rillshunt.peer.v1.StoppingJob' as const
 
 /** Lends and asks for parts of limits; while requests wait, at once. */
 export const loansService = () =>
@@ -218,7 +223,7 @@
           router.allotments.step()
           if (router.loads().some(({ queued }) => queued > 0)) await peers.syncHall()
           router.wake()
-          await sleep(LOAN_STEP_MS, stopping.signal)
+          await sleep(LOAN_INTERVAL_MS, stopping.signal)
         }
       }
       const task = run()
--- a/src/programs/services.ts
+++ b/src/programs/services.ts
@@ -80,10 +80,12 @@
     needs: ['platform', 'metrics'],
     async start({ get, log }) {
       const { hall } = cfg.node
-      const needed = runsKeeper ? keeperPrefixes(hall) : [vmPrefix(hall), jobPrefix(hall)]
+      const fleetPrefixes = runsKeeper
+        ? keeperPrefixes(hall)
+        : [vmPrefix(hall), jobPrefix(hall)]
       const rows = createRowWatch({
         platform: get('platform'),
-        prefixes: [HEAD_KEY, ...needed],
+        prefixes: [HEAD_KEY, ...fleetPrefixes],
         pollMs: cfg.platform.poll,
         maxBackoffMs: cfg.platform.max_backoff,
         log,
