--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `rillshunt-entry`: answers callers and routes their requests to targets. */
+/** `rillshunt-entry`: accepts requests of callers and routes them to targets. */
 import { createEntry, runProgram } from '../programs/index.js'
 
 await runProgram('rillshunt-entry', createEntry)
--- a/src/bin/keeper.ts
+++ b/src/bin/keeper.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `rillshunt-keeper`: decides pools, placements and waves of a data hall. */
+/** `rillshunt-keeper`: manages pools, placements and waves of a data hall. */
 import { createKeeperProgram, runProgram } from '../programs/index.js'
 
 await runProgram('rillshunt-keeper', createKeeperProgram)
--- a/src/bin/node.ts
+++ b/src/bin/node.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `rillshunt-node`: takes jobs from callers and runs them on targets. Signals are held
- * before anything else is loaded.
+ * `rillshunt-node`: accepts jobs from callers and runs them on targets. Signals are
+ * buffered before any other module is loaded.
  */
 import { holdSignals } from './signals.js'
 
--- a/src/bin/nodeProgram.ts
+++ b/src/bin/nodeProgram.ts
@@ -1,4 +1,4 @@
-/** The program of a node: settings, signals, and the kernel that is started until it runs. */
+/** Main program of a node: reads settings, handles signals and starts the kernel. */
 import { isDeepStrictEqual } from 'node:util'
 import {
   createAdviceClient,
@@ -20,12 +20,12 @@
 import { EXIT, createFdSink, createLogger, sleep } from '../shared/index.js'
 import type { Signals } from './signals.js'
 
-/** Variable that holds the path of the settings. */
+/** Environment variable with the path of the settings. */
 const SETTINGS_ENV = 'RILLSHUNT_BOOT'
 /**
- * Pause before a start that failed is tried again, in ms. A port may be in use by what
- * ran here before; the process does not end for it, since a platform that starts it again
- * does so with less knowledge and no sooner.
+ * Pause before a failed start is retried, in ms. A port may still be in use by the
+ * previous process. The process retries instead of exiting, because a restart by the
+ * platform would come no sooner and would not know why the start failed.
  */
 const START_RETRY_MS = 500
 
@@ -69,7 +69,7 @@
   }
 }
 
-/** Says what of the settings is not used, and which contracts are not known. */
+/** Logs which settings are ignored and which contracts are unknown. */
 function logIgnoredSettings({ cfg, ignored }: LoadedNodeConfig, log: Logger): void {
   if (ignored.length > 0) log.event('settingsIgnored', { ignored })
   const contracts = unknownContracts(cfg)
@@ -77,8 +77,8 @@
 }
 
 /**
- * Reads the settings again. What they say of addresses takes effect with the next start;
- * a difference is logged, so that nobody waits for it.
+ * Reads the settings again. Changed sections take effect at the next start; they are
+ * logged, so that operators do not expect the change earlier.
  */
 async function reload(file: string, cfg: NodeConfig, log: Logger): Promise<void> {
   const next = await loadNodeConfig(file)
@@ -94,7 +94,7 @@
   log.event('settingsReloaded', { file, takesEffectAtStart: changed })
 }
 
-/** Runs the node until it is told to stop; a start that fails is tried again. */
+/** Runs the node until SIGTERM; retries a start that fails. */
 async function runNode(
   file: string,
   loaded: LoadedNodeConfig,
@@ -114,8 +114,8 @@
   logIgnoredSettings(loaded, log)
   let kernel: Kernel | undefined
   let stop: Promise<void> | undefined
-  // Asked again, it goes on with the stop that is under way: the process that ended at a
-  // second SIGTERM cut off 2.5 s of its planned stop.
+  // A second SIGTERM does not interrupt the stop under way: exiting at once would cut off
+  // 2.5 s of a planned stop.
   signals.handle('SIGTERM', () => {
     stop ??= (async () => {
       await kernel?.stop()
@@ -132,7 +132,7 @@
   }
 }
 
-/** Reads the settings, waits for them if need be, and runs the node. */
+/** Reads the settings, waits until they are valid, and runs the node. */
 export async function runNodeProgram(signals: Signals): Promise<void> {
   signals.handle('SIGTERM', () => process.exit(EXIT.ok))
   const file = process.argv[2] ?? process.env[SETTINGS_ENV]
--- a/src/bin/rillshunt.ts
+++ b/src/bin/rillshunt.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `rillshunt`: the operators' command line. */
+/** `rillshunt`: the command line for operators. */
 import { createCli } from '../cli/index.js'
 
 process.exitCode = await createCli().run(process.argv.slice(2))
--- a/src/bin/signals.ts
+++ b/src/bin/signals.ts
@@ -1,26 +1,25 @@
 /**
- * Signals of the platform, kept from the first moment of the process on. Without a handler
- * a signal ends the process: while the code of a node was loaded, 0.3 s and more on a weak
- * VM, one SIGHUP did (5 to 300 ms after the start, tried at ten moments). What comes
- * before somebody can act on it is handed over later. Until Node.js itself has started
- * (0.17 s, `node -e 0` on a busy machine) a signal still ends the process.
+ * Buffers signals of the platform until a handler is registered. A signal without a
+ * handler ends the process. Loading the code of a node takes 0.3 s or more on a weak VM;
+ * without the buffer, a SIGHUP 5 to 300 ms after the start ends the process. Until Node.js
+ * itself has started (0.17 s for `node -e 0` on a busy machine), a signal still ends it.
  */
 
 /** Signals that the platform sends. */
 export type PlatformSignal = 'SIGHUP' | 'SIGTERM'
 
-/** Signals by what they ask for. */
+/** Registers handlers for buffered signals. */
 export interface Signals {
-  /** Calls the handler for each signal from now on, and once if one has come already. */
+  /** Calls the handler for each signal from now on, and once if one has arrived before. */
   handle(signal: PlatformSignal, handler: () => void): void
 }
 
 const SIGNALS: readonly PlatformSignal[] = ['SIGHUP', 'SIGTERM']
 
-/** Found by the code that is loaded later, which is a bundle of its own. */
+/** A global key, because the code loaded later is a bundle with its own copy of this file. */
 const SIGNALS_KEY = Symbol.for('rillshunt.signals')
 
-/** Holds signals from now on; the second call returns what the first one made. */
+/** Buffers signals from now on; later calls return the same buffer. */
 export function holdSignals(): Signals {
   const globals = globalThis as { [SIGNALS_KEY]?: Signals }
   return (globals[SIGNALS_KEY] ??= createSignalBuffer())
--- a/src/cli/acceptCommand.ts
+++ b/src/cli/acceptCommand.ts
@@ -1,4 +1,4 @@
-/** `rillshunt table accept`: shows what the draft would do, checks it, puts it in force. */
+/** `rillshunt table accept`: previews, validates and accepts the draft. */
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import { applyEdits, checkTable } from '../table/index.js'
@@ -15,7 +15,7 @@
   unknown: EXIT.unknown,
 }
 
-/** What became of the accept, for people. */
+/** Text output for each outcome. */
 const OUTCOME_TEXTS: {
   [K in AcceptOutcome['kind']]: (outcome: Extract<AcceptOutcome, { kind: K }>) => string
 } = {
--- a/src/cli/addressedCommand.ts
+++ b/src/cli/addressedCommand.ts
@@ -1,13 +1,13 @@
-/** Base of commands that read from a service of the platform whose address they are given. */
+/** Base of commands that read from a platform service at a given address. */
 import { Option } from 'clipanion'
 import { createStoreClient } from '../../platform/index.js'
 import type { RowStore, StoredRow } from '../ports/index.js'
 import { EXIT } from '../shared/index.js'
 import { OutputCommand, unwrap } from './base.js'
 
-/** A service whose address an option or else a variable gives. */
+/** A service whose address comes from an option or from an environment variable. */
 interface ServiceAddress<C> {
-  /** What it is called in the message when no address is given. */
+  /** Name of the service in error messages. */
   name: string
   option: string
   given: string | undefined
@@ -17,9 +17,9 @@
 
 const ADDRESS = /^[\d.]+:\d+$/
 
-/** Base of commands that open one client and close it in the end. */
+/** Base of commands that open a client and close it at the end. */
 export abstract class AddressedCommand extends OutputCommand {
-  /** Runs with a client of the service; its number is the exit code. */
+  /** Calls `run` with a client of the service; returns its exit code. */
   async withClient<C extends { close(): void }>(
     service: ServiceAddress<C>,
     run: (client: C) => Promise<number>,
@@ -27,7 +27,10 @@
     const { name, option, variable } = service
     const address = service.given ?? process.env[variable]
     if (address === undefined || !ADDRESS.test(address)) {
-      return this.fail(`name the ${name} by ${option} IP:PORT or ${variable}`, EXIT.usage)
+      return this.fail(
+        `no valid address for the ${name}: use ${option} IP:PORT or set ${variable}`,
+        EXIT.usage,
+      )
     }
     const client = service.open(address)
     try {
@@ -43,7 +46,7 @@
 /** Base of commands that read the store of the nodes. */
 export abstract class StoreCommand extends AddressedCommand {
   address = Option.String('--store', {
-    description: 'IP:PORT of the store; RILLSHUNT_STORE otherwise',
+    description: 'IP:PORT of the store (default: $RILLSHUNT_STORE)',
   })
 
   abstract run(store: RowStore): Promise<number>
@@ -60,7 +63,7 @@
   }
 }
 
-/** All rows of a table, part by part. */
+/** Reads all rows of a table, part by part. */
 export async function readAllRows(store: RowStore, table: string): Promise<StoredRow[]> {
   const rows: StoredRow[] = []
   for (const part of unwrap(await store.parts(table))) {
--- a/src/cli/base.ts
+++ b/src/cli/base.ts
@@ -1,4 +1,4 @@
-/** Options and helpers that all commands share. */
+/** Options and helpers shared by all commands. */
 import Table from 'cli-table3'
 import { Command, Option } from 'clipanion'
 import type { Result } from 'neverthrow'
@@ -9,10 +9,10 @@
 import { createTableStore } from '../table/index.js'
 import type { TableStore } from '../table/index.js'
 
-/** Longest wait for the platform, in ms: a person waits for the answer. */
+/** Time-out of a call to the platform, in ms: an operator waits for the reply. */
 const CALL_TIMEOUT_MS = 5000
 
-/** An end of a command with a message and an exit code. */
+/** Ends a command with a message and an exit code. */
 class CommandFailure extends Error {
   constructor(
     message: string,
@@ -22,37 +22,37 @@
   }
 }
 
-/** What a command works with. */
+/** Clients and editor that a command runs with. */
 export interface Session {
   platform: Platform
   store: TableStore
   editor: string
 }
 
-/** Base of all commands: output for people or as JSON. */
+/** Base of all commands: output as text or JSON. */
 export abstract class OutputCommand extends Command {
   json = Option.Boolean('--json', false, { description: 'print JSON' })
 
-  /** Prints an error for people or as JSON. */
+  /** Prints an error as text or JSON; returns the exit code. */
   fail(message: string, exitCode: number): number {
     const text = this.json ? JSON.stringify({ error: message }) : message
     this.context.stderr.write(`${text}\n`)
     return exitCode
   }
 
-  /** Prints a value as JSON, or for people by `human`. */
+  /** Prints a value as JSON, or the text that `formatText` returns. */
   print(value: unknown, formatText: () => string): void {
     const text = this.json ? JSON.stringify(value, null, 2) : formatText()
     this.context.stdout.write(`${text}\n`)
   }
 
-  /** Colours that are off unless the output is a terminal. */
+  /** Colours; off unless the output is a terminal and NO_COLOR is unset. */
   colors() {
     const stream = this.context.stdout as { isTTY?: boolean }
     return pc.createColors(stream.isTTY === true && process.env['NO_COLOR'] === undefined)
   }
 
-  /** A table for people. */
+  /** Formats a text table without borders. */
   formatTable(head: string[], lines: (string | number)[][]): string {
     const noBorders = Object.fromEntries(BORDERS.map((name) => [name, '']))
     const table = new Table({
@@ -68,23 +68,23 @@
       .join('\n')
   }
 
-  /** Ends the command with what was thrown. */
+  /** Prints a thrown error; returns the exit code. */
   failWith(cause: unknown): number {
     const code = cause instanceof CommandFailure ? cause.exitCode : EXIT.failed
     return this.fail(describeError(cause), code)
   }
 }
 
-/** Base of all commands that talk to the platform. */
+/** Base of commands that call the platform. */
 export abstract class PlatformCommand extends OutputCommand {
   url = Option.String('--platform', {
-    description: 'address of the platform; RILLSHUNT_PLATFORM otherwise',
+    description: 'URL of the platform (default: $RILLSHUNT_PLATFORM)',
   })
   editorName = Option.String('--editor', {
-    description: 'whose draft to use; RILLSHUNT_EDITOR or USER otherwise',
+    description: 'editor whose draft is used (default: $RILLSHUNT_EDITOR, then $USER)',
   })
 
-  /** The command itself; its number is the exit code. */
+  /** Runs the command; returns the exit code. */
   abstract run(session: Session): Promise<number>
 
   override async execute(): Promise<number> {
@@ -93,13 +93,13 @@
     const editor = this.editorName ?? env['RILLSHUNT_EDITOR'] ?? env['USER'] ?? 'operator'
     if (url === undefined || !URL.canParse(url)) {
       return this.fail(
-        'name the platform by --platform URL or RILLSHUNT_PLATFORM',
+        'no valid URL for the platform: use --platform URL or set RILLSHUNT_PLATFORM',
         EXIT.usage,
       )
     }
     if (!/^[\w.@-]{1,64}$/.test(editor)) {
       return this.fail(
-        `--editor: '${editor}' is no name of letters, digits, . _ @ -`,
+        `--editor: '${editor}' must be 1 to 64 letters, digits and . _ @ -`,
         EXIT.usage,
       )
     }
@@ -118,7 +118,7 @@
   }
 }
 
-/** Borders of a table, all left out. */
+/** Border parts of cli-table3, all of them left out. */
 const BORDERS = [
   'top',
   'top-mid',
@@ -137,13 +137,13 @@
   'middle',
 ]
 
-/** The value, or an end of the command with the error's message. */
+/** Returns the value, or throws an error that ends the command with the exit code. */
 export function unwrap<T>(result: Result<T, Error>, exitCode: number = EXIT.failed): T {
   if (result.isOk()) return result.value
   throw new CommandFailure(describeError(result.error), exitCode)
 }
 
-/** A cell's text for people. */
+/** Formats the value of a cell. */
 export function formatCell(value: string | null): string {
   return value === null ? '(default)' : `'${value}'`
 }
--- a/src/cli/csvCommands.ts
+++ b/src/cli/csvCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt table import|export`: the table as a CSV sheet. */
+/** `rillshunt table import|export`: reads and writes the table as CSV. */
 import { readFile, writeFile } from 'node:fs/promises'
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
@@ -10,7 +10,7 @@
 export class TableImport extends PlatformCommand {
   static override paths = [['table', 'import']]
   static override usage = PlatformCommand.Usage({
-    description: 'make the draft equal to a CSV sheet',
+    description: 'replace the draft with the table in a CSV file',
   })
   file = Option.String()
 
@@ -33,7 +33,7 @@
 export class TableExport extends PlatformCommand {
   static override paths = [['table', 'export']]
   static override usage = PlatformCommand.Usage({
-    description: 'write the accepted table as a CSV sheet',
+    description: 'write the accepted table as CSV',
   })
   file = Option.String({ required: false })
 
--- a/src/cli/draftCommands.ts
+++ b/src/cli/draftCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt table show|set|unset|remove|diff|discard`: the accepted table and the draft. */
+/** `rillshunt table show|set|unset|remove|diff|discard`: the table and its draft. */
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import {
@@ -17,9 +17,11 @@
 export class TableShow extends PlatformCommand {
   static override paths = [['table', 'show']]
   static override usage = PlatformCommand.Usage({
-    description: 'show the accepted table, or the draft over it',
+    description: 'show the accepted table, with or without the draft',
+  })
+  draft = Option.Boolean('--draft', false, {
+    description: 'apply the edits of the draft',
   })
-  draft = Option.Boolean('--draft', false, { description: 'with the edits of the draft' })
 
   async run({ store, editor }: Session): Promise<number> {
     const view = unwrap(await store.draft(editor))
@@ -63,10 +65,11 @@
     const parts = splitRow(this.row)
     if (!parts)
       return this.fail(
-        `'${this.row}' is no pool/NAME, service/NAME or wave/NAME`,
+        `'${this.row}' is not of the form pool/NAME, service/NAME or wave/NAME`,
         EXIT.usage,
       )
-    if (this.cells.length % 2 > 0) return this.fail('give COLUMN VALUE pairs', EXIT.usage)
+    if (this.cells.length % 2 > 0)
+      return this.fail('arguments after ROW must be COLUMN VALUE pairs', EXIT.usage)
     const edits: Omit<CellEdit, 'editor'>[] = []
     for (let i = 0; i < this.cells.length; i += 2) {
       const column = this.cells[i]!
@@ -89,7 +92,7 @@
 export class TableUnset extends PlatformCommand {
   static override paths = [['table', 'unset']]
   static override usage = PlatformCommand.Usage({
-    description: 'set a cell of the draft back to its default',
+    description: 'reset a cell of the draft to its default',
   })
   row = Option.String()
   column = Option.String()
@@ -122,7 +125,7 @@
 export class TableDiff extends PlatformCommand {
   static override paths = [['table', 'diff']]
   static override usage = PlatformCommand.Usage({
-    description: 'show the draft against the accepted table',
+    description: 'show the changes of the draft to the accepted table',
   })
 
   async run({ store, editor }: Session): Promise<number> {
@@ -149,7 +152,7 @@
 /** `table discard` */
 export class TableDiscard extends PlatformCommand {
   static override paths = [['table', 'discard']]
-  static override usage = PlatformCommand.Usage({ description: 'throw the draft away' })
+  static override usage = PlatformCommand.Usage({ description: 'discard the draft' })
 
   async run({ store, editor }: Session): Promise<number> {
     unwrap(await store.discard(editor))
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,4 +1,4 @@
-/** `rillshunt explain KIND ID`: the story of a VM, job, wave or pool from the stored events. */
+/** `rillshunt explain KIND ID`: stored events about a VM, job, wave, pool or service. */
 import { Option } from 'clipanion'
 import { DECISIONS_PREFIX } from '../keeper/index.js'
 import type { StoredEvent } from '../keeper/index.js'
@@ -6,7 +6,7 @@
 import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
-/** Which fields of an event can name the thing asked about. */
+/** Event fields that can hold the id, by kind. */
 const FIELDS_BY_KIND: Record<string, string[]> = {
   vm: ['vm'],
   job: ['job'],
@@ -14,17 +14,17 @@
   pool: ['pool', 'from', 'to'],
   service: ['service'],
 }
-/** Newest batches that are read. */
+/** Number of newest event batches that are read. */
 const MAX_BATCHES = 500
 const READ_BATCH_SIZE = 20
-/** Fields that are told in their own columns. */
-const SEPARATE_COLUMNS = new Set(['hall', 'node', 'component'])
+/** Fields that the last column leaves out. */
+const OMITTED_FIELDS = new Set(['hall', 'node', 'component'])
 
 /** `explain KIND ID` */
 export class Explain extends PlatformCommand {
   static override paths = [['explain']]
   static override usage = PlatformCommand.Usage({
-    description: 'tell what happened to a vm, job, wave, pool or service, and why',
+    description: 'show what happened to a vm, job, wave, pool or service, and why',
     examples: [['a wave', 'rillshunt explain wave kernel']],
   })
   kind = Option.String()
@@ -57,7 +57,7 @@
 
 function describeFields(values: Record<string, unknown>): string {
   return Object.entries(values)
-    .filter(([name, value]) => !SEPARATE_COLUMNS.has(name) && value !== undefined)
+    .filter(([name, value]) => !OMITTED_FIELDS.has(name) && value !== undefined)
     .map(([name, value]) => `${name}: ${String(value)}`)
     .join(', ')
 }
--- a/src/cli/fleetCommands.ts
+++ b/src/cli/fleetCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt vms|pools|jobs|waves`: the fleet as the platform's rows show it. */
+/** `rillshunt vms|pools|jobs|waves`: the fleet according to the platform's rows. */
 import type { z } from 'zod'
 import {
   JOB_ROOT,
@@ -113,7 +113,7 @@
 export class Waves extends PlatformCommand {
   static override paths = [['waves']]
   static override usage = PlatformCommand.Usage({
-    description: 'list maintenance waves and how far each hall is',
+    description: 'list maintenance waves and their progress in each hall',
   })
 
   async run(session: Session): Promise<number> {
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** The command line for operators. */
 import { Builtins, Cli } from 'clipanion'
 import type { CommandClass } from 'clipanion'
 import { Explain } from './explainCommand.js'
--- a/src/cli/nodeCommands.ts
+++ b/src/cli/nodeCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt node owners`, `waves` and `vms`: the nodes' fleet, from store and cloud. */
+/** `rillshunt node owners|waves|vms`: the nodes' fleet, from the store and the cloud. */
 import { Option } from 'clipanion'
 import { createCloudClient, platformDocuments } from '../../platform/index.js'
 import { EPOCH_TABLE, NODES_TABLE, decodeEpoch, decodeNode } from '../ownership/index.js'
@@ -12,7 +12,7 @@
 export class NodeOwners extends StoreCommand {
   static override paths = [['node', 'owners']]
   static override usage = StoreCommand.Usage({
-    description: 'list which node owns which service, and the nodes',
+    description: 'list the owner of each service; with --json also the nodes',
   })
 
   async run(store: RowStore): Promise<number> {
@@ -39,7 +39,7 @@
 export class NodeWaves extends StoreCommand {
   static override paths = [['node', 'waves']]
   static override usage = StoreCommand.Usage({
-    description: 'list maintenance waves and how far they are',
+    description: 'list maintenance waves and their progress',
   })
 
   async run(store: RowStore): Promise<number> {
@@ -66,7 +66,7 @@
   }
 }
 
-/** VMs of each pool, and how many of them are up. */
+/** Counts the VMs of each pool, and those that are up. */
 function countByPool(vms: Vm[]) {
   const names = [...new Set(vms.map(({ pool }) => pool))].sort()
   return names.map((pool) => {
@@ -80,12 +80,12 @@
 export class NodeVms extends AddressedCommand {
   static override paths = [['node', 'vms']]
   static override usage = AddressedCommand.Usage({
-    description: 'list VMs with their pool and state, and sum them up by pool',
+    description: 'list VMs with their pool and state, or their numbers by pool',
   })
   address = Option.String('--cloud', {
-    description: 'IP:PORT of the cloud; RILLSHUNT_CLOUD otherwise',
+    description: 'IP:PORT of the cloud (default: $RILLSHUNT_CLOUD)',
   })
-  byPool = Option.Boolean('--pools', false, { description: 'only the sums by pool' })
+  byPool = Option.Boolean('--pools', false, { description: 'only the numbers by pool' })
 
   override execute(): Promise<number> {
     const service = {
--- a/src/cli/nodeJobCommands.ts
+++ b/src/cli/nodeJobCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt node jobs` and `explain`: jobs of the nodes, read from the store. */
+/** `rillshunt node jobs|explain`: jobs of the nodes, read from the store. */
 import { Option } from 'clipanion'
 import {
   ENDED_TABLE,
@@ -15,10 +15,10 @@
 import { StoreCommand, readAllRows } from './addressedCommand.js'
 import { askWhyJobWaits, describeAnswer } from './waitReason.js'
 
-/** The state of a job, or that its progress cannot be read: it is held. */
+/** State of a job; `unreadable` if its progress cannot be read, which puts it on hold. */
 type ListedStatus = JobStatus | 'unreadable'
 
-/** A job as it is listed. */
+/** A job as `node jobs` lists it. */
 interface ListedJob {
   id: string
   queue: string
@@ -28,7 +28,7 @@
   acceptedAtMs: number
 }
 
-/** A job that is not over, with what the store knows of it. */
+/** A job that has not ended, with its stored state. */
 interface OpenJob {
   job: JobSpec
   cancelled: boolean
@@ -36,7 +36,7 @@
   status: ListedStatus
 }
 
-/** Every accepted job that is not over, with its progress and state. */
+/** Reads all accepted jobs that have not ended, with progress and state. */
 async function readOpenJobs(store: RowStore): Promise<OpenJob[]> {
   const progress = new Map<string, Progress | undefined>()
   for (const row of await readAllRows(store, PROGRESS_TABLE)) {
@@ -58,7 +58,7 @@
   })
 }
 
-/** What is kept of every job that is over. */
+/** Reads the stored summaries of all ended jobs. */
 async function readEndedJobs(store: RowStore): Promise<ListedJob[]> {
   return (await readAllRows(store, ENDED_TABLE)).flatMap((row) => {
     const ended = decodeEnded(row.value)
@@ -85,7 +85,7 @@
   state = Option.String('--state', { description: 'only jobs in this state' })
 
   async run(store: RowStore): Promise<number> {
-    // The open ones first: a job that is over meanwhile is then among both, never in none.
+    // Open jobs first: a job that ends between the reads is then in both lists, not in none.
     const open = (await readOpenJobs(store)).map(toListedJob)
     const ended = await readEndedJobs(store)
     const byId = new Map([...open, ...ended].map((job) => [job.id, job]))
@@ -107,7 +107,7 @@
   }
 }
 
-/** What a progress row says of a step of the first repetition. */
+/** Counts done tasks and failed runs of a step in the first repetition. */
 function countStep(progress: Progress | undefined, index: number, tasks: number) {
   const done = progress?.done[`0.${index}`] ?? []
   const isDone = done === 'all' || progress?.outcome === 'completed'
@@ -122,7 +122,7 @@
 export class NodeExplain extends StoreCommand {
   static override paths = [['node', 'explain']]
   static override usage = StoreCommand.Usage({
-    description: 'what is known of one job, step by step, and why it waits',
+    description: 'show the progress of a job by step, and why it waits',
   })
   id = Option.String({ required: true })
 
@@ -147,7 +147,7 @@
     return EXIT.ok
   }
 
-  /** Of a job that is over only its outcome is kept. */
+  /** Shows an ended job, of which only a summary with the outcome is stored. */
   private async explainEnded(store: RowStore): Promise<number> {
     const ended = (await readEndedJobs(store)).find(({ id }) => id === this.id)
     if (!ended) return this.fail(`no job ${this.id} is in the store`, EXIT.failed)
--- a/src/cli/preview.ts
+++ b/src/cli/preview.ts
@@ -1,22 +1,22 @@
-/** What an accepted table would do, by the same planners that the keepers use. */
+/** Previews the effects of a table with the planners that the keepers use. */
 import { JOB_ROOT, VM_ROOT, jobRowSchema, vmRowSchema } from '../fleet/index.js'
 import type { JobRow, VmRow } from '../fleet/index.js'
 import { planJobs, planPools } from '../keeper/index.js'
 import type { Platform } from '../platform/index.js'
 import type { Table } from '../table/index.js'
 
-/** Effects in one hall. */
+/** Effects of a table in one hall. */
 export interface HallPreview {
   hall: string
   vmMoves: { vm: string; from: string; to: string }[]
   jobStarts: number
   jobStops: number
   unplaced: { service: string; reason: string }[]
-  /** Waves that the budgets would not let finish, and why. */
+  /** Waves that cannot finish because of a limit or a budget, and why. */
   stuckWaves: { wave: string; reason: string }[]
 }
 
-/** Plans every hall once under the table. Undefined when the rows cannot be read. */
+/** Plans every hall once with the table. Returns undefined if the rows cannot be read. */
 export async function previewTable(
   platform: Platform,
   table: Table,
@@ -60,7 +60,7 @@
   }
 }
 
-/** Waves of pools with a service whose budget allows no instance away. */
+/** Running waves whose limit is 0 or whose pool has a service with a budget of 0. */
 function stuckWaves(table: Table): { wave: string; reason: string }[] {
   const stuck: { wave: string; reason: string }[] = []
   for (const [wave, line] of table.waves) {
--- a/src/cli/statusCommands.ts
+++ b/src/cli/statusCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt table find|history|status`: what was accepted, and where it is in force. */
+/** `rillshunt table find|history|status`: accepted tables and the epoch in each hall. */
 import { Option } from 'clipanion'
 import {
   HALL_PREFIX,
@@ -11,14 +11,14 @@
 import type { Session } from './base.js'
 
 const DEFAULT_HISTORY_COUNT = 20
-/** A hall whose lease was not renewed for so long is shown as not reached, in ms. */
+/** Time without lease renewal after which a hall is shown as not reached, in ms. */
 const UNREACHABLE_AFTER_MS = 15_000
 
 /** `table find ID` */
 export class TableFind extends PlatformCommand {
   static override paths = [['table', 'find']]
   static override usage = PlatformCommand.Usage({
-    description: 'find out whether an accept took effect',
+    description: 'show whether an accept took effect',
   })
   acceptId = Option.String()
 
@@ -36,13 +36,13 @@
   static override paths = [['table', 'history']]
   static override usage = PlatformCommand.Usage({ description: 'list accepted tables' })
   count = Option.String('--count', String(DEFAULT_HISTORY_COUNT), {
-    description: 'how many, newest first',
+    description: 'number of tables, newest first',
   })
 
   async run({ store }: Session): Promise<number> {
     const count = Number(this.count)
     if (!Number.isInteger(count) || count < 1) {
-      return this.fail('--count: a whole number from 1', EXIT.usage)
+      return this.fail('--count must be a whole number of at least 1', EXIT.usage)
     }
     const tables = unwrap(await store.history(count))
     const entries = tables.map(({ epoch, editor, at, acceptId, changes }) => {
--- a/src/cli/waitReason.ts
+++ b/src/cli/waitReason.ts
@@ -8,19 +8,20 @@
 import { parseJson } from '../shared/index.js'
 import { readAllRows } from './addressedCommand.js'
 
-/** Longest wait for the owner, in ms; an operator then looks at its log. */
+/** Time-out of the call to the owner, in ms. After it, operators look at the owner's log. */
 const ASK_TIMEOUT_MS = 2000
 
-/** What the owner says; without a node nobody owns the service. */
+/** Reply of the owner, or why there is none. */
 export interface OwnerAnswer {
+  /** Owner of the service; undefined if it has none. */
   node: string | undefined
-  /** Why it could not be asked. */
+  /** Why the owner could not be asked. */
   failure: string | undefined
   /** Undefined when the job does not wait. */
   wait: WaitReport | undefined
 }
 
-/** Asks the owner, as the rows name it. */
+/** Asks the owner that the stored rows name. */
 export async function askWhyJobWaits(
   store: RowStore,
   job: JobSpec,
@@ -49,7 +50,7 @@
   }
 }
 
-/** One line for an operator. */
+/** Formats the answer as one line of text. */
 export function describeAnswer({ node, failure, wait }: OwnerAnswer): string {
   if (node === undefined) return 'no node owns the service: the job waits for one'
   if (failure !== undefined) return `its owner ${node} could not be asked: ${failure}`
--- a/src/config/index.ts
+++ b/src/config/index.ts
@@ -1,4 +1,4 @@
-/** INI settings: schema, defaults, checks. */
+/** INI settings: schema, defaults and validation. */
 export {
   allowedKeys,
   loadConfig,
--- a/src/config/nodeConfig.ts
+++ b/src/config/nodeConfig.ts
@@ -1,7 +1,7 @@
 /**
- * Settings of `rillshunt-node`. The platform fills them in and may say more than this
- * version knows; what is not known is left out and named, because a node that refuses to
- * serve for it fails on every VM at once.
+ * Settings of `rillshunt-node`. The platform writes the file and may use sections, keys
+ * or values that this version does not support. Those are ignored and reported: a node
+ * that refused to start because of them would fail on every VM at once.
  */
 import { parse } from 'ini'
 import type { Result } from 'neverthrow'
@@ -12,20 +12,20 @@
 import { INLINE_SOURCE, loadSettings, resolveSections } from './resolveConfig.js'
 import type { Sections } from './resolveConfig.js'
 
-/** Settings of a node, and what of their file is not used. */
+/** Settings of a node, and the parts of the file that are ignored. */
 export interface LoadedNodeConfig {
   cfg: NodeConfig
-  /** Sections and keys, one message each. */
+  /** One message for each ignored section or key. */
   ignored: string[]
 }
 
-/** Settings sorted into those that are used and the names of the others. */
+/** A settings file split into the parts that are used and messages about the others. */
 interface SeparatedSettings {
   used: Sections
   ignored: string[]
 }
 
-/** Why a value is not used; undefined when it is. */
+/** Returns why a value is ignored; undefined if it is used. */
 function reasonIgnored(section: string, key: string, value: unknown): string | undefined {
   const shape: z.ZodRawShape = nodeConfigSchema.shape[section as keyof NodeConfig].shape
   const schema = shape[key] as z.ZodType | undefined
@@ -57,7 +57,7 @@
   return result
 }
 
-/** Reads settings from INI text; keys without a value count as absent. */
+/** Parses settings from INI text. A key without a value counts as absent. */
 export function parseNodeConfig(
   text: string,
   source: string = INLINE_SOURCE,
--- a/src/config/resolveConfig.ts
+++ b/src/config/resolveConfig.ts
@@ -1,4 +1,4 @@
-/** Reads, checks and prints settings. */
+/** Reads, validates and prints settings. */
 import { readFile } from 'node:fs/promises'
 import { parse, stringify } from 'ini'
 import { err, ok } from 'neverthrow'
@@ -8,13 +8,13 @@
 import { configSchema } from './schema.js'
 import type { ResolvedConfig, UserConfig } from './schema.js'
 
-/** Name in messages for settings that come from no file. */
+/** Source named in error messages if the settings do not come from a file. */
 export const INLINE_SOURCE = 'settings'
 
-/** Settings as a file holds them: sections of keys with text. */
+/** Settings as a file holds them: text values by section and key. */
 export type Sections = Record<string, Record<string, unknown>>
 
-/** Checks settings of any program; the errors name section and key. */
+/** Validates settings by a schema and fills in defaults. Errors name section and key. */
 export function resolveSections<S extends z.ZodObject>(
   schema: S,
   user: Sections,
@@ -44,7 +44,7 @@
   return resolveSections(schema, parsed as Sections, source)
 }
 
-/** Checks settings given as an object; the errors name section and key. */
+/** Validates settings given as an object. Errors name section and key. */
 export function resolveConfig(
   user: UserConfig,
   source: string = INLINE_SOURCE,
@@ -52,7 +52,7 @@
   return resolveSections(configSchema, user as Sections, source)
 }
 
-/** Reads settings from INI text. */
+/** Parses settings from INI text. */
 export function parseConfig(
   text: string,
   source: string = INLINE_SOURCE,
@@ -60,7 +60,7 @@
   return parseSections(configSchema, text, source)
 }
 
-/** Reads a file with settings; the error names the file. */
+/** Reads and parses a settings file. Errors name the file. */
 export async function loadSettings<T>(
   file: string,
   read: (text: string, source: string) => Result<T, ConfigError>,
@@ -75,7 +75,7 @@
 /** Reads settings from an INI file. */
 export const loadConfig = (file: string) => loadSettings(file, parseConfig)
 
-/** Prints resolved settings as INI: durations in ms, sizes in bytes, ready to be read again. */
+/** Prints resolved settings as INI that parses back: durations in ms, sizes in bytes. */
 export function printConfig(cfg: ResolvedConfig): string {
   const peers = Object.entries(cfg.peers).map(([id, peer]) => {
     const host = peer.host.includes(':') ? `[${peer.host}]` : peer.host
@@ -95,7 +95,7 @@
   return stringify(printable, { whitespace: true })
 }
 
-/** Units that {@link printConfig} puts behind resolved numbers. */
+/** Units that {@link printConfig} appends to resolved numbers. */
 const UNIT_OF_KEY: Record<string, Record<string, string>> = {
   platform: { timeout: 'ms', poll: 'ms', max_backoff: 'ms' },
   requests: {
@@ -141,7 +141,7 @@
   return `[${section}] ${key}: unknown key; allowed: ${allowedKeys(section, schema).join(', ')}`
 }
 
-/** Keys of a section, for messages and for the check of the docs. */
+/** Keys of a section, for error messages and the test of the documentation. */
 export function allowedKeys(
   section: string,
   schema: z.ZodObject = configSchema,
--- a/src/config/schema.ts
+++ b/src/config/schema.ts
@@ -16,14 +16,14 @@
   wholeNumber,
 } from './values.js'
 
-/** Keeps section objects strict, so that a misspelt key is an error. */
+/** A strict object, so that a misspelt key is an error. */
 const section = <T extends z.ZodRawShape>(shape: T) => z.strictObject(shape)
 
-/** Who this process is. */
+/** Identity of this process. */
 const node = section({
   /** Unique name of the process. Required. */
   id: identifier(),
-  /** Data hall that it stands in. Required. */
+  /** Data hall that the process runs in. Required. */
   hall: identifier(),
   /**
    * Region of the hall.
@@ -32,15 +32,15 @@
   region: identifier().prefault('default'),
 })
 
-/** Addresses that this process opens. */
+/** Address and ports that this process listens on. */
 const listen = section({
   /**
-   * IP number of every listener.
+   * IP address of every listener.
    * @default '127.0.0.1'
    */
   address: ipAddress().prefault('127.0.0.1'),
   /**
-   * Port for callers; 0 takes a free one.
+   * Port for callers; 0 picks a free port.
    * @default 7080
    */
   port: port().prefault('7080'),
@@ -50,28 +50,28 @@
    */
   ops_port: port().prefault('7081'),
   /**
-   * Port for other processes of rillshunt.
+   * Port for other rillshunt processes.
    * @default 7082
    */
   peer_port: port().prefault('7082'),
 })
 
-/** The platform's table service, object store, list and tasks. */
+/** Connection to the platform: table service, object store, list of VMs and tasks. */
 const platform = section({
-  /** Where the platform answers. Required. */
+  /** Base URL of the platform. Required. */
   url: httpUrl(),
   /**
-   * Longest wait for one call.
+   * Time-out of one call.
    * @default '2s'
    */
   timeout: duration().prefault('2s'),
   /**
-   * Time between two conditional reads of the table and the rows.
+   * Interval between conditional reads of the table and the rows.
    * @default '1s'
    */
   poll: duration().prefault('1s'),
   /**
-   * Longest pause between retries in an outage.
+   * Longest backoff between retries in an outage.
    * @default '5s'
    */
   max_backoff: duration().prefault('5s'),
@@ -80,53 +80,53 @@
 /** How requests are served. */
 const requests = section({
   /**
-   * Time that a request may take where the caller names none.
+   * Deadline of a request if the caller sets none.
    * @default '30s'
    */
   deadline: duration().prefault('30s'),
   /**
-   * Longest wait for a connection to a target, identity check included.
+   * Time-out for connecting to a target, identity check included.
    * @default '1s'
    */
   connect_timeout: duration().prefault('1s'),
   /**
-   * Attempts per request at the most, the first included.
+   * Maximum number of attempts per request, the first included.
    * @default 3
    */
   attempts: wholeNumber(1, 10).prefault('3'),
   /**
-   * Retries allowed per fresh request, on average.
+   * Retries allowed per new request, on average.
    * @default 0.1
    */
   retry_share: fraction().prefault('0.1'),
   /**
-   * Bodies up to this size are read before routing and can be sent again.
+   * Bodies up to this size are buffered before routing, so that they can be sent again.
    * @default '64KiB'
    */
   buffer_body: size().prefault('64KiB'),
   /**
-   * Requests that may wait per service and entry.
+   * Maximum number of queued requests per service and entry.
    * @default 512
    */
   queue: wholeNumber(0, 100_000).prefault('512'),
   /**
-   * Time for which unrepeatable requests are remembered.
+   * How long the ids of unrepeatable requests are kept.
    * @default '10m'
    */
   once_memory: duration().prefault('10m'),
   /**
-   * Time between two health checks of a target.
+   * Interval between health checks of a target.
    * @default '1s'
    */
   health_interval: duration().prefault('1s'),
   /**
-   * Time that the balancer needs to see that an entry is stopping.
+   * Time that the load balancer needs to notice that an entry is stopping.
    * @default '2s'
    */
   drain_notice: duration().prefault('2s'),
 })
 
-/** Control: leases, pools, placement and waves. */
+/** The keeper: leases, pools, placement and waves. */
 const keeper = section({
   /**
    * Whether an entry also runs the keeper in its own process.
@@ -134,17 +134,17 @@
    */
   hosted: toggle().prefault('no'),
   /**
-   * Time after which the lease of a silent holder may be taken.
+   * Time without renewal after which another keeper may take the lease.
    * @default '6s'
    */
   lease: duration().prefault('6s'),
   /**
-   * Time between two rounds of decisions.
+   * Interval between rounds of decisions.
    * @default '1s'
    */
   cycle: duration().prefault('1s'),
   /**
-   * Time for a VM to come back from a reboot before the wave halts.
+   * Longest time a VM may take to reboot before the wave halts.
    * @default '10m'
    */
   reboot_timeout: duration().prefault('10m'),
@@ -153,25 +153,26 @@
 /** Structured log. */
 const log = section({
   /**
-   * Lowest level that is written: error, warn, info or debug.
+   * Least severe level that is logged: error, warn, info or debug.
    * @default 'info'
    */
   level: z.enum(['error', 'warn', 'info', 'debug']).prefault('info'),
   /**
-   * One line per routing decision.
+   * Whether every routing decision is logged.
    * @default 'on'
    */
   routing: toggle().prefault('on'),
 })
 
-/** The whole of the settings. */
+/** Schema of all settings. */
 export const configSchema = z.strictObject({
   node,
   listen,
   platform,
   /**
-   * Every process of rillshunt, as `ID = HALL IP:PORT`; ` keeper` behind it marks a
-   * process that only runs the keeper. The same list may be given to all.
+   * All rillshunt processes, as `ID = HALL IP:PORT`; a trailing ` keeper` marks a process
+   * that only runs the keeper. The list may name this process too, so that all processes
+   * can share one list.
    */
   peers: z.record(z.string(), peerAddress()),
   requests,
@@ -182,7 +183,7 @@
 /** Settings as the program uses them: durations in ms, sizes in bytes. */
 export type ResolvedConfig = z.output<typeof configSchema>
 
-/** Settings as a file holds them: every value is text, most may be left out. */
+/** Settings as a file holds them: every value is text, and most are optional. */
 export type UserConfig = {
   [Section in keyof ResolvedConfig]?: {
     [Key in keyof ResolvedConfig[Section]]?: string
--- a/src/config/values.ts
+++ b/src/config/values.ts
@@ -1,6 +1,5 @@
 /**
- * Readers for the kinds of values that settings hold. Each gives an error that
- * says what is allowed.
+ * Parsers for the kinds of values in settings. Their errors say what is allowed.
  */
 import { isIP } from 'node:net'
 import { z } from 'zod'
@@ -32,23 +31,23 @@
   })
 }
 
-/** A length of time, in milliseconds. */
+/** A duration with a unit, resolved to milliseconds. */
 export const duration = () =>
   textValue('a duration with a unit (ms, s, m, h), such as 250ms', (text) =>
     parseWithUnit(text, DURATION_UNITS),
   )
 
-/** An amount of bytes. */
+/** A size with a unit, resolved to bytes. */
 export const size = () =>
   textValue('a size with a unit (B, KiB, MiB), such as 64KiB', (text) =>
     parseWithUnit(text, SIZE_UNITS),
   )
 
-/** A switch. */
+/** A boolean. */
 export const toggle = () =>
   textValue('one of yes, no, on, off, true, false', (text) => BOOLEAN_WORDS[text])
 
-/** A whole number within bounds. */
+/** A whole number from `min` to `max`. */
 export const wholeNumber = (min: number, max: number) =>
   textValue(`a whole number from ${min} to ${max}`, (text) => {
     const value = Number(text)
@@ -56,7 +55,7 @@
     return isInRange ? value : undefined
   })
 
-/** A part of one, from 0 to 1. */
+/** A number from 0 to 1. */
 export const fraction = () =>
   textValue('a number from 0 to 1', (text) => {
     const value = Number(text)
@@ -70,10 +69,10 @@
     return text.trim() !== '' && value > 0 && Number.isFinite(value) ? value : undefined
   })
 
-/** A TCP port. */
+/** A TCP port; 0 lets the system pick one. */
 export const port = () => wholeNumber(0, 65_535)
 
-/** An IP number. Host names are refused: a process must not need a name service. */
+/** An IP address. Host names are refused, so that no process depends on DNS. */
 export const ipAddress = () =>
   textValue('an IP number (host names are not allowed), such as 10.1.0.4', (text) =>
     isIP(text) ? text : undefined,
@@ -87,16 +86,18 @@
     IDENTIFIER.test(text) ? text : undefined,
   )
 
-/** Bytes of a name at most: it is a key of the store, which takes 200. */
-const MAX_NODE_NAME = 150
+/** Longest name, in bytes: a name is part of a store key, which may have 200 bytes. */
+const MAX_NODE_NAME_LENGTH = 150
 
-/** The name that the platform gives to a node or a data hall: printable, without blanks. */
+/** A name that the platform gives to a node or a data hall: printable, without blanks. */
 export const nodeName = () =>
-  textValue(`a printable name without blanks, at most ${MAX_NODE_NAME} long`, (text) =>
-    /^[!-~]+$/.test(text) && text.length <= MAX_NODE_NAME ? text : undefined,
+  textValue(
+    `a printable name without blanks, at most ${MAX_NODE_NAME_LENGTH} long`,
+    (text) =>
+      /^[!-~]+$/.test(text) && text.length <= MAX_NODE_NAME_LENGTH ? text : undefined,
   )
 
-/** An HTTP address by IP number. */
+/** An HTTP URL with an IP address as its host, resolved to the origin. */
 export const httpUrl = () =>
   textValue('an http URL by IP number, such as http://10.1.0.4:7000', (text) => {
     if (!URL.canParse(text)) return undefined
@@ -105,7 +106,7 @@
     return url.protocol === 'http:' && isIP(host) ? url.origin : undefined
   })
 
-/** One peer, written as `HALL IP:PORT`, with `keeper` behind it for a keeper process. */
+/** A peer, written as `HALL IP:PORT`, or `HALL IP:PORT keeper` for a keeper process. */
 export interface PeerAddress {
   hall: string
   host: string
@@ -115,7 +116,7 @@
 
 const PEER_PATTERN = /^([a-z0-9-]+)\s+\[?([0-9a-f.:]+?)\]?:(\d+)(?:\s+(keeper))?$/i
 
-/** A peer's data hall and address. */
+/** A {@link PeerAddress} in its text form. */
 export const peerAddress = () =>
   textValue('a data hall and an address, such as oslo-1 10.1.0.4:7082', (text) => {
     const [, hall, host, portText, role] = PEER_PATTERN.exec(text.trim()) ?? []
@@ -129,7 +130,7 @@
     return peer
   })
 
-/** An address by IP number, as `IP:PORT`. */
+/** An address, as `IP:PORT`. */
 export const socketAddress = () =>
   textValue('an address by IP number, such as 10.1.0.4:7080', (text) => {
     const [, host, portText] = /^(.+):(\d+)$/.exec(text.trim()) ?? []
--- a/src/peer/callWithTimeout.ts
+++ b/src/peer/callWithTimeout.ts
@@ -1,14 +1,15 @@
-/** Bounds of the wait for a peer's answer. */
+/** Time-outs of calls to peers. */
 import type { CallOptions } from '@connectrpc/connect'
 import { Code, ConnectError } from '@connectrpc/connect'
 import { watchSilence } from '../shared/index.js'
 
 /**
- * Calls a peer and gives up when it stays silent. Time in which this process could not
- * read does not count: an answer that has arrived is taken, however late it is read.
- * @param timeoutMs silence that is borne.
- * @param run makes the call with the options that it is given.
- * @param signal ends the call at once.
+ * Calls a peer and cancels the call when no reply arrives in time. Time in which this
+ * process could not read does not count: a reply that has arrived is used even if it is
+ * read late.
+ * @param timeoutMs longest wait for the reply.
+ * @param run makes the call with the given options.
+ * @param signal cancels the call at once.
  */
 export async function callWithTimeout<T>(
   timeoutMs: number,
@@ -16,7 +17,7 @@
   signal?: AbortSignal,
 ): Promise<T> {
   const controller = new AbortController()
-  const cancel = () => controller.abort(new ConnectError('given up', Code.Canceled))
+  const cancel = () => controller.abort(new ConnectError('call cancelled', Code.Canceled))
   const silenceWatch = watchSilence(timeoutMs, () => {
     const reason = `no answer within ${timeoutMs} ms`
     controller.abort(new ConnectError(reason, Code.DeadlineExceeded))
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,3 +1,3 @@
-/** Messages between rillshunt's own processes. */
+/** Messages between rillshunt processes. */
 export * from './network.js'
 export type { NodeReport } from './gen/peer_pb.js'
--- a/src/peer/loans.ts
+++ b/src/peer/loans.ts
@@ -1,11 +1,11 @@
-/** Loan messages on the wire. */
+/** Conversion of loan messages to and from protobuf. */
 import { create } from '@bufbuild/protobuf'
 import type { LoanMessage } from '../entry/index.js'
 import { LoansSchema } from './gen/peer_pb.js'
 import type { Loans } from './gen/peer_pb.js'
 import { MAX_SERVICE_LOADS } from './constants.js'
 
-/** As it is sent. */
+/** Encodes a loan message, with at most {@link MAX_SERVICE_LOADS} services. */
 export function encodeLoans(message: LoanMessage): Loans {
   return create(LoansSchema, {
     life: BigInt(message.life),
@@ -14,7 +14,7 @@
   })
 }
 
-/** As the entry uses it. */
+/** Decodes a loan message for the entry. */
 export function decodeLoans(loans: Loans): LoanMessage {
   const lines = loans.lines.map(
     ({ service, granted, returned, legacy, wants, recall }) => {
--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of rillshunt among themselves: one task per peer that exchanges
- * reports, and a push of the epoch to every peer when a new table comes in force.
+ * Exchange between rillshunt processes: a loop per peer that syncs reports, and a push of
+ * the epoch to every peer when a new table comes into force.
  */
 import { create } from '@bufbuild/protobuf'
 import { Code, ConnectError } from '@connectrpc/connect'
@@ -33,13 +33,13 @@
 import { createDataSharing } from './sharing.js'
 import { createMeteredAgent, createTrafficMeter } from './traffic.js'
 
-/** The part of a report that only the entry knows. */
+/** Supplies the fields of a report that only the entry knows. */
 export type ReportSource = () => Pick<
   NodeReport,
   'routes' | 'leaving' | 'loads' | 'stopping' | 'draining'
 >
 
-/** What the entry adds to the messages between peers. */
+/** The entry's handlers for loans and claims in messages between peers. */
 export interface EntryExchange {
   loans: Pick<Allotments, 'messageFor' | 'receive'>
   once: Once['answer']
@@ -48,19 +48,19 @@
 /** The peers of this process. */
 export interface PeerNetwork {
   peers(): PeerState[]
-  /** Calls of the entry's own to a peer; they reject when nothing is known of the effect. */
+  /** Claim calls of the entry to a peer; they reject if their effect is unknown. */
   oncePeers: OncePeers
-  /** Sets what the entry adds. */
+  /** Sets the handlers of the entry. */
   setExchange(exchange: EntryExchange): void
-  /** Sets who fills the report. */
+  /** Sets the source of the entry's report fields. */
   setReportSource(reportSource: ReportSource): void
-  /** Calls back after each report of a peer. */
+  /** Calls the listener after each report of a peer; returns the unsubscribe function. */
   subscribe(listener: () => void): () => void
-  /** Syncs with the peers of the own hall now. */
+  /** Syncs with all peers of the own hall at once. */
   syncHall(): Promise<void>
   /** The report of this process, for a keeper in the same process. */
   ownReport(): NodeReport
-  /** Port that peers reach this process at. */
+  /** Port on which this process listens for peers. */
   port: number
   stop(): Promise<void>
 }
@@ -68,7 +68,7 @@
 /** Options of {@link createPeerNetwork}. */
 export interface PeerNetworkOptions {
   cfg: ResolvedConfig
-  /** Changes at each start of the process. */
+  /** Identifies one start of the process. */
   incarnation: string
   platform: Platform
   rows: RowWatch
@@ -85,7 +85,7 @@
   draining: [],
 })
 
-/** Opens the peer port and starts one task per peer. */
+/** Opens the peer port and starts a sync loop per peer. */
 export async function createPeerNetwork(opts: PeerNetworkOptions): Promise<PeerNetwork> {
   const { cfg, rows, table, log, metrics } = opts
   const stopping = createStopController()
@@ -123,16 +123,22 @@
 
   function receiveReport(report: NodeReport | undefined): void {
     if (!report || exceedsLimits(report)) {
-      log.event('peerMessageRefused', { peer: report?.node, reason: 'over the bounds' })
-      throw new ConnectError('report is over the bounds', Code.InvalidArgument)
+      log.event('peerMessageRefused', {
+        peer: report?.node,
+        reason: 'report exceeds the limits',
+      })
+      throw new ConnectError('report exceeds the limits', Code.InvalidArgument)
     }
     const peer = peers.get(report.node)
     if (!peer || peer.address.hall !== report.hall) {
       log.event('peerMessageRefused', {
         peer: report.node,
-        reason: 'not in the settings',
+        reason: 'peer is not in the settings',
       })
-      throw new ConnectError(`'${report.node}' is no peer of mine`, Code.PermissionDenied)
+      throw new ConnectError(
+        `'${report.node}' is not a peer of this process`,
+        Code.PermissionDenied,
+      )
     }
     peer.recordReport(report)
     if (peer.isLost) log.event('peerBack', { peer: peer.id, hall: report.hall })
@@ -142,7 +148,7 @@
     if (epoch > sharing.epoch()) void fetchNewerTable(peer, epoch)
   }
 
-  /** Gets a newer table from the platform or, when that is away, from the peer. */
+  /** Fetches a newer table from the platform or, if that fails, from the peer. */
   async function fetchNewerTable(peer: Peer, epoch: number): Promise<void> {
     await readPlatformTable(opts.platform, table)
     if (epoch <= sharing.epoch()) return
@@ -191,8 +197,8 @@
   async function runSyncLoop(peer: Peer): Promise<void> {
     const local = peer.address.hall === cfg.node.hall
     const interval = intervalOf(peer.address.hall)
-    // One side of a pair asks, since the answer carries the other's report; the other one
-    // asks only while it hears nothing.
+    // Only one side of a pair initiates syncs, because the reply carries the report of
+    // the other side. The passive side syncs only while it receives no reports.
     const initiates = cfg.node.id < peer.id
     await sync(peer)
     while (!stopping.signal.aborted) {
@@ -226,7 +232,8 @@
       },
       pushHead(req) {
         const peer = peers.get(req.node)
-        if (!peer) throw new ConnectError('not in the settings', Code.PermissionDenied)
+        if (!peer)
+          throw new ConnectError('peer is not in the settings', Code.PermissionDenied)
         if (peer.report) peer.report.epoch = req.epoch
         if (Number(req.epoch) > sharing.epoch())
           void fetchNewerTable(peer, Number(req.epoch))
@@ -265,7 +272,7 @@
       stopping.abort()
       const closed = new Promise((resolve) => server.close(resolve))
       server.closeIdleConnections()
-      // Answers under way still go out; a peer that keeps its connection open is cut off.
+      // Lets replies under way go out, then closes connections that peers keep open.
       await Promise.race([closed, sleep(CLOSE_GRACE_MS)])
       agent.destroy()
       server.closeAllConnections()
--- a/src/peer/oncePeers.ts
+++ b/src/peer/oncePeers.ts
@@ -1,4 +1,4 @@
-/** Claims of unrepeatable requests between entries. */
+/** Calls and routes for claims of unrepeatable requests between entries. */
 import type { Client, ServiceImpl } from '@connectrpc/connect'
 import { Code, ConnectError } from '@connectrpc/connect'
 import { fromThrowable } from 'neverthrow'
@@ -18,7 +18,7 @@
 
 type PeerClient = Client<typeof PeerService>
 
-/** Calls to other entries by id. */
+/** Creates the claim calls to other entries, which are named by id. */
 export function createOncePeers(
   ownId: string,
   clientOf: (peer: string) => PeerClient | undefined,
@@ -26,7 +26,9 @@
   const client = (peer: string): PeerClient => {
     const found = clientOf(peer)
     if (found) return found
-    throw new PeerError('is not in the settings', { props: { step: 'once.call', peer } })
+    throw new PeerError('peer is not in the settings', {
+      props: { step: 'once.call', peer },
+    })
   }
   return {
     async claim(peer, id, owner, token) {
@@ -59,7 +61,7 @@
   }
 }
 
-/** A list that is too long is cut, and is no whole memory then. */
+/** Encodes claims. A list over the limit keeps its last ones and is marked incomplete. */
 function encodeClaims({ claims, complete }: Legacy) {
   const kept = claims.slice(-MAX_CLAIMS_PER_MESSAGE)
   const encoded = kept.map(({ id, state, ageMs, token }) => {
@@ -68,7 +70,7 @@
   return { claims: encoded, complete: complete && kept.length === claims.length }
 }
 
-/** Throws on a state that is none. */
+/** Decodes claims. Throws on an unknown state. */
 function decodeClaims(claims: Claim[]): ClaimRecord[] {
   return claims.map(({ id, state, ageMs, token }) => {
     return { id, state: stateSchema.parse(state), ageMs: Number(ageMs), token }
@@ -77,7 +79,7 @@
 
 type OnceMethods = 'claimId' | 'settle' | 'collect' | 'handOver'
 
-/** What this process answers to other entries. */
+/** Creates the routes that answer claim calls of other entries. */
 export function onceRoutes(
   answer: () => Once['answer'] | undefined,
   isPeer: (id: string) => boolean,
@@ -85,9 +87,12 @@
   function answersFor(node: string): Once['answer'] {
     const found = answer()
     if (!isPeer(node))
-      throw new ConnectError('not in the settings', Code.PermissionDenied)
+      throw new ConnectError('caller is not in the settings', Code.PermissionDenied)
     if (found) return found
-    throw new ConnectError('this process is no entry, or is starting', Code.Unavailable)
+    throw new ConnectError(
+      'this process is not an entry, or is still starting',
+      Code.Unavailable,
+    )
   }
   return {
     claimId(req) {
@@ -99,7 +104,8 @@
     },
     settle(req) {
       const state = settleSchema.safeParse(req.state)
-      if (!state.success) throw new ConnectError('no such state', Code.InvalidArgument)
+      if (!state.success)
+        throw new ConnectError('unknown claim state', Code.InvalidArgument)
       answersFor(req.node).settle(req.id, state.data)
       return {}
     },
@@ -107,7 +113,8 @@
     handOver(req) {
       const answer = answersFor(req.node)
       const claims = fromThrowable(decodeClaims)(req.claims)
-      if (claims.isErr()) throw new ConnectError('no such state', Code.InvalidArgument)
+      if (claims.isErr())
+        throw new ConnectError('unknown claim state', Code.InvalidArgument)
       answer.handOver(req.node, { claims: claims.value, complete: req.complete })
       return {}
     },
--- a/src/peer/peerLink.ts
+++ b/src/peer/peerLink.ts
@@ -1,4 +1,4 @@
-/** One peer: its address, its client and what it last said. */
+/** One peer: address, client and last report. */
 import { createServer } from 'node:http'
 import type { Agent, Server } from 'node:http'
 import type { Client, ConnectRouter } from '@connectrpc/connect'
@@ -19,32 +19,32 @@
 import { createReachability } from './reachability.js'
 import type { TrafficMeter } from './traffic.js'
 
-/** What a peer last said, and when. */
+/** Last report of a peer and its age. */
 export interface PeerState {
   id: string
   address: PeerAddress
-  /** Undefined until the peer has spoken. */
+  /** Undefined until the first report arrives. */
   report: NodeReport | undefined
-  /** Ms since the peer last spoke, or since our start when it never did. */
+  /** Ms since the last report, or since the start of this process if there is none. */
   silentForMs(): number
   /**
-   * Whether it has spoken within a few of its intervals; time in which this process could
-   * not read does not count.
+   * Whether a report has arrived within the last few sync intervals; time in which this
+   * process could not read does not count.
    */
   isReached(): boolean
 }
 
-/** A peer with what it takes to call it. */
+/** A peer with its client. */
 export interface Peer extends PeerState {
   client: Client<typeof PeerService>
   isLost: boolean
-  /** Notes what it says. */
+  /** Stores a report and restarts the reachability time-out. */
   recordReport(report: NodeReport): void
-  /** Ends what is done about it; it counts as not reached from then on. */
+  /** Stops the reachability timer; the peer counts as not reached from then on. */
   stopWatching(): void
 }
 
-/** Whether a report has more entries than a sender may name. */
+/** Whether a list of the report is longer than a sender may make it. */
 export function exceedsLimits(report: NodeReport): boolean {
   const { leaving, loads, stopping, draining } = report
   if (leaving.length > MAX_LEAVING_VMS || loads.length > MAX_SERVICE_LOADS) return true
@@ -52,8 +52,8 @@
 }
 
 /**
- * Prepares calls to a peer; nothing is connected yet.
- * @param intervalMs time between two syncs with it.
+ * Creates a peer and its client, without connecting.
+ * @param intervalMs interval between syncs with the peer.
  */
 export function createPeer(
   id: string,
@@ -89,7 +89,7 @@
   return peer
 }
 
-/** Opens the port for peers. Rejects when it cannot be opened. */
+/** Opens the port for peers. Rejects if it cannot be opened. */
 export async function listenForPeers(
   cfg: ResolvedConfig,
   routes: (router: ConnectRouter) => void,
--- a/src/peer/reachability.ts
+++ b/src/peer/reachability.ts
@@ -1,19 +1,20 @@
-/** Whether a peer is reached: it has spoken, and has not been silent for too long since. */
+/** Tracks whether a peer is reached: whether its last message is recent enough. */
 import { watchSilence } from '../shared/index.js'
 import type { SilenceWatch } from '../shared/index.js'
 
-/** What is known of a peer's silence. */
+/** Reachability of one peer. */
 export interface Reachability {
-  /** The peer has spoken. */
+  /** Records that a message of the peer has arrived. */
   noteMessage(): void
   isReached(): boolean
-  /** Ends the watch; the peer counts as not reached from then on. */
+  /** Stops tracking; the peer counts as not reached from then on. */
   stop(): void
 }
 
 /**
- * Creates the watch over one peer, which is not reached until it has spoken.
- * @param timeoutMs silence that is borne, in which only time counts that this process could hear.
+ * Starts tracking one peer, which counts as not reached until its first message.
+ * @param timeoutMs longest silence of a reached peer; time in which this process could
+ *   not read does not count.
  */
 export function createReachability(timeoutMs: number): Reachability {
   let watch: SilenceWatch | undefined
--- a/src/peer/sharing.ts
+++ b/src/peer/sharing.ts
@@ -1,4 +1,4 @@
-/** The table in force and the rows of the hall, for peers that lack the platform. */
+/** Transfer of the table and the rows of the hall to peers that lack the platform. */
 import type { CallOptions, Client, ServiceImpl } from '@connectrpc/connect'
 import { Code, ConnectError } from '@connectrpc/connect'
 import { z } from 'zod'
@@ -12,7 +12,7 @@
 
 const rowsSchema = z.object({ rows: changesSchema.shape.rows })
 
-/** Gives and takes tables and rows. Calls reject when the peer's answer cannot be used. */
+/** Creates routes and calls for tables and rows. Calls reject if the reply is invalid. */
 export function createDataSharing(opts: {
   hall: string
   table: TableHolder
@@ -25,21 +25,22 @@
       return { acceptedJson: accepted ? JSON.stringify(accepted) : '' }
     },
     fetchRows(req) {
-      if (req.hall !== hall) throw new ConnectError('another hall', Code.InvalidArgument)
+      if (req.hall !== hall)
+        throw new ConnectError('rows of another hall requested', Code.InvalidArgument)
       const rowsJson = JSON.stringify({ rows: [...rows.rows.values()] })
       return { revision: BigInt(rows.revision()), rowsJson }
     },
   }
   return {
     routes,
-    /** Epoch of the table in force; 0 means none yet. */
+    /** Epoch of the table in force; 0 if there is none yet. */
     epoch: () => table.current()?.epoch ?? 0,
     async fetchTable(client: PeerClient, options: CallOptions): Promise<void> {
       const res = await client.fetchTable({}, options)
       if (res.acceptedJson === '') return
       table.offer(acceptedSchema.parse(JSON.parse(res.acceptedJson)), 'peer')
     },
-    /** Fills an empty copy of the hall's rows. */
+    /** Fetches the rows of the hall into a copy that is still empty. */
     async fetchRows(client: PeerClient, options: CallOptions): Promise<void> {
       const res = await client.fetchRows({ hall }, options)
       const { rows: fetched } = rowsSchema.parse(JSON.parse(res.rowsJson))
--- a/src/peer/traffic.ts
+++ b/src/peer/traffic.ts
@@ -1,14 +1,14 @@
-/** Counts the bytes to and from peers over sockets that stay open. */
+/** Counts bytes to and from peers, also on sockets that stay open. */
 import { Agent } from 'node:http'
 import { createConnection } from 'node:net'
 import type { NetConnectOpts, Socket } from 'node:net'
 import type { Metrics } from '../shared/index.js'
 import { CLIENT_IDLE_TIMEOUT_MS } from './constants.js'
 
-/** Counts what sockets carry. */
+/** Counts the bytes of tracked sockets. */
 export interface TrafficMeter {
   track(socket: Socket): void
-  /** Adds what has passed since the last call to the metrics. */
+  /** Adds the bytes since the last call to the metrics. */
   collect(): void
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** A keep-alive agent whose sockets are counted. */
+/** Creates a keep-alive agent whose sockets are tracked by the meter. */
 export function createMeteredAgent(meter: TrafficMeter): Agent {
   const agent = new Agent({ keepAlive: true, timeout: CLIENT_IDLE_TIMEOUT_MS })
   const connect = (options: NetConnectOpts): Socket => {
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -1,4 +1,4 @@
-/** The services that only an entry needs, for the kernel. */
+/** Kernel services that only an entry needs. */
 import type { ResolvedConfig } from '../config/index.js'
 import {
   createAllotments,
@@ -27,14 +27,14 @@
   }
 }
 
-/** Time between two looks at loans, in ms. */
+/** Interval between loan decisions, in ms. */
 const LOAN_INTERVAL_MS = 250
-/** Pause before peers that did not answer are asked for left memory again, in ms. */
+/** Pause before peers are asked again for claims that were handed over, in ms. */
 const RECOVERY_RETRY_MS = 1000
-/** An entry that is off the list and silent for so long is gone, in ms. */
+/** Silence after which an entry missing from the platform's list is gone, in ms. */
 const GONE_AFTER_MS = 30_000
 
-/** Entries of all halls by the settings, this one included. */
+/** All entries in the settings, in every hall, and this one. */
 function entriesOf(cfg: ResolvedConfig) {
   const listed = Object.entries(cfg.peers)
     .filter(([, peer]) => peer.role === 'entry')
@@ -87,7 +87,7 @@
     stop: (view) => view.stop(),
   })
 
-/** Jobs whose targets have told other entries of the hall that they drain. */
+/** Jobs whose targets other entries of the hall report as draining. */
 function jobsDrainingAtPeers(peers: PeerNetwork, hall: string): Set<string> {
   const jobs = peers
     .peers()
@@ -96,7 +96,7 @@
   return new Set(jobs)
 }
 
-/** Remembers unrepeatable requests; on a planned stop it leaves that with a peer. */
+/** Keeps claims of unrepeatable requests; a planned stop hands them over to a peer. */
 export const onceService = (cfg: ResolvedConfig) =>
   defineService({
     name: 'once',
@@ -116,7 +116,7 @@
         wallSeconds: () => Date.now() / 1000,
         log,
       })
-      // Before this life claims anything: what was left for it must be taken back first.
+      // Claims that were handed over at the last stop are taken back before any are added.
       const stopping = createStopController()
       let isRecovered = await once.recover()
       const recovery = (async () => {
@@ -130,7 +130,7 @@
         async close() {
           stopping.abort()
           await recovery
-          // Who is reached decides who may stand in.
+          // The claims go to a peer that is reached, so reachability must be up to date.
           await peers.syncHall()
           await once.leave()
         },
@@ -139,7 +139,10 @@
     stop: (once) => once.close(),
   })
 
-/** Whether the platform's table knows no earlier life; notes this one. */
+/**
+ * Whether the platform stores no earlier incarnation of the entry; if so, stores this one.
+ * False if the platform does not confirm the write.
+ */
 async function isFirstIncarnation(platform: Platform, entry: string): Promise<boolean> {
   const key = lifeKey(entry)
   const rows = await platform.read([key])
@@ -150,15 +153,18 @@
 }
 
 /**
- * A service's limit, but not more than its targets have slots: beyond that, requests would
- * wait at targets, where an urgent one cannot pass them.
+ * A service's limit, capped at the number of slots of its targets. Beyond that, requests
+ * would queue at targets, where an urgent request cannot overtake the others.
  */
 function effectiveLimit(line: ServiceLine | undefined, halls: number): number {
   if (!line) return 0
   return Math.min(line.limit, line.instances * line.slots * halls)
 }
 
-/** Routes requests; its limits come from the loans service, which needs its counts. */
+/**
+ * Routes requests. Its limits come from the allotments, which use its counts and are
+ * updated by the loans service.
+ */
 export const routerService = (cfg: ResolvedConfig) =>
   defineService({
     name: 'router',
@@ -209,7 +215,10 @@
 const SERVICE_LOAD_TYPE = 'rillshunt.peer.v1.ServiceLoad' as const
 const STOPPING_JOB_TYPE = 'rillshunt.peer.v1.StoppingJob' as const
 
-/** Lends and asks for parts of limits; while requests wait, at once. */
+/**
+ * Lends and borrows parts of service limits. While requests are queued, it syncs with
+ * peers at once instead of waiting for the next regular sync.
+ */
 export const loansService = () =>
   defineService({
     name: 'loans',
@@ -250,7 +259,10 @@
     stop: (front) => front.close(),
   })
 
-/** The last service to start: on a planned stop it waits while the balancer still sends. */
+/**
+ * Starts last, so it stops first: a planned stop waits here while the load balancer still
+ * sends requests.
+ */
 export const noticeService = (cfg: ResolvedConfig) =>
   defineService({
     name: 'notice',
--- a/src/programs/main.ts
+++ b/src/programs/main.ts
@@ -1,4 +1,4 @@
-/** The command line and the signals that the long-running programs share. */
+/** Command line and signal handling of the long-running programs. */
 import { parseArgs } from 'node:util'
 import { loadConfig, printConfig } from '../config/index.js'
 import type { ResolvedConfig } from '../config/index.js'
@@ -52,7 +52,8 @@
         .then(() => log.close())
         .then(resolve)
     }
-    // A second SIGTERM leaves the stop alone; a second SIGINT is somebody who will not wait.
+    // A second SIGTERM does not interrupt the stop. A second SIGINT ends the process at
+    // once, for an operator who does not want to wait.
     process.on('SIGTERM', stop)
     process.once('SIGINT', stop)
   })
--- a/src/programs/programs.ts
+++ b/src/programs/programs.ts
@@ -31,7 +31,7 @@
   peersService(cfg),
 ]
 
-/** An entry, with the keeper in the same process where the settings say so. */
+/** An entry; with `keeper.hosted`, it runs the keeper as well. */
 export function createEntry(cfg: ResolvedConfig, log: Logger): Kernel {
   const services = [
     ...commonServices(cfg, cfg.keeper.hosted),
--- a/src/programs/services.ts
+++ b/src/programs/services.ts
@@ -1,4 +1,4 @@
-/** The services that all programs or the keeper need, for the kernel. */
+/** Kernel services that all programs or the keeper need. */
 import { nanoid } from 'nanoid'
 import type { ResolvedConfig } from '../config/index.js'
 import { createOps } from '../entry/index.js'
@@ -16,11 +16,12 @@
 import { HEAD_KEY, createTableHolder, followHead } from '../table/index.js'
 import type { TableHolder } from '../table/index.js'
 
-/** Whether a planned stop has begun; shared by the services that behave differently then. */
+/** Identity of this incarnation and whether it is stopping, shared by other services. */
 interface Lifecycle {
   incarnation: string
-  /** Time of day of the start, in ms; orders the lives of a process. */
+  /** Wall-clock time of the start, in ms; orders the incarnations of a process. */
   startedAt: number
+  /** Whether a planned stop has begun. */
   stopping: boolean
 }
 
@@ -37,7 +38,7 @@
   }
 }
 
-/** Characters of a process's incarnation. */
+/** Length of an incarnation id, in characters. */
 const INCARNATION_LENGTH = 8
 
 export const lifecycleService = () =>
@@ -128,7 +129,10 @@
     stop: (peers) => peers.stop(),
   })
 
-/** Started last, so stopped first: it tells the balancer before anything else ends. */
+/**
+ * Answers readiness checks. It starts after the services it reports on and stops before
+ * them, so that the load balancer learns of a stop before they end.
+ */
 export const opsService = (cfg: ResolvedConfig, needsFront: boolean) =>
   defineService({
     name: 'ops',
