--- a/src/cli/__tests__/cli.spec.ts
+++ b/src/cli/__tests__/cli.spec.ts
@@ -23,7 +23,7 @@
 }
 
 describe('rillshunt table', () => {
-  it('sets, shows, accepts and lists', async (t) => {
+  it('edits, shows, accepts and lists tables', async (t) => {
     const { run } = await setUp(t)
     t.is((await run('table', 'set', 'pool/p', 'weight', '1', 'limit', '4')).code, 0)
     t.regex((await run('table', 'diff')).out, /pool\/p limit: \(default\) -> '4'/)
@@ -36,7 +36,7 @@
     t.regex((await run('table', 'status')).out, /accepted epoch: 1/)
   })
 
-  it('prints JSON on request', async (t) => {
+  it('prints JSON with --json', async (t) => {
     const { run } = await setUp(t)
     await run('table', 'set', 'pool/p', 'weight', '1', 'limit', '4')
     t.like(JSON.parse((await run('table', 'accept', '--json')).out), {
@@ -49,7 +49,7 @@
     })
   })
 
-  it('refuses a wrong table with exit code 3, naming every wrong cell', async (t) => {
+  it('refuses an invalid table with exit code 3 and names every invalid cell', async (t) => {
     const { run, standIn } = await setUp(t)
     await run('table', 'set', 'pool/p', 'weight', 'x', 'limit', '4.5')
     const { code, out } = await run('table', 'accept')
@@ -59,7 +59,7 @@
     t.is(standIn.row('head'), undefined)
   })
 
-  it('settles an accept whose replies are lost, and ends with exit code 1 in an outage', async (t) => {
+  it('completes an accept whose replies are lost, and ends with exit code 1 in an outage', async (t) => {
     const { run, standIn } = await setUp(t)
     await run('table', 'set', 'pool/p', 'weight', '1', 'limit', '4')
     standIn.faults.loseReplies = 99
@@ -72,7 +72,7 @@
     t.like(await run('table', 'find', 'accept-none'), { code: 1 })
   })
 
-  it('refuses wrong words with exit code 2 and says what is allowed', async (t) => {
+  it('refuses invalid arguments with exit code 2 and says what is allowed', async (t) => {
     const { run } = await setUp(t)
     t.like(await run('table', 'set', 'host/x', 'weight', '1'), { code: 2 })
     t.regex(
@@ -85,7 +85,7 @@
     )
   })
 
-  it('imports what it exported, and names the place of a mistake', async (t) => {
+  it('imports its own export, and names the line of a mistake', async (t) => {
     const { run } = await setUp(t)
     const file = join(await mkdtemp(join(tmpdir(), 'rillshunt-')), 'table.csv')
     await run('table', 'set', 'pool/p', 'weight', '1', 'limit', '4')
--- a/src/cli/__tests__/waitReason.spec.ts
+++ b/src/cli/__tests__/waitReason.spec.ts
@@ -1,10 +1,10 @@
 import { describe, it } from '../../../test/describe.js'
 import { describeAnswer } from '../waitReason.js'
 
-describe('describeOwner', () => {
+describe('describeAnswer', () => {
   const asked = { node: 'n1', failure: undefined, wait: undefined }
 
-  it('names the rules that hold a job, and until when', (t) => {
+  it('names the rules that hold a job, and for how long', (t) => {
     const wait = {
       task: 'j.0.0.1',
       waitedMs: 1200,
@@ -20,7 +20,7 @@
     t.regex(describeAnswer({ ...asked, wait: noTarget }), /held by no target; 0 targets/)
   })
 
-  it('says that nobody can tell', (t) => {
+  it('says why there is no wait report', (t) => {
     t.regex(describeAnswer({ ...asked, node: undefined }), /no node owns/)
     t.regex(
       describeAnswer({ ...asked, failure: 'timed out' }),
--- a/src/config/__tests__/resolveConfig.spec.ts
+++ b/src/config/__tests__/resolveConfig.spec.ts
@@ -25,7 +25,7 @@
 const errorOf = (text: string) => parseConfig(text, 'e.ini')._unsafeUnwrapErr().message
 
 describe('parseConfig', () => {
-  it('fills in defaults and reads units', (t) => {
+  it('fills in defaults and parses units', (t) => {
     const cfg = parseConfig(
       `${GOOD}[requests]\ndeadline = 2m\nbuffer_body = 1KiB\n`,
     )._unsafeUnwrap()
@@ -87,7 +87,7 @@
     }
   })
 
-  it('never throws, whatever the text', (t) => {
+  it('never throws on arbitrary text', (t) => {
     const word = fc.constantFrom(
       '[',
       ']',
@@ -107,7 +107,7 @@
 })
 
 describe('printConfig', () => {
-  it('prints what reads back as the same settings', (t) => {
+  it('prints settings that parse back to the same values', (t) => {
     const cfg = parseConfig(GOOD)._unsafeUnwrap()
     t.deepEqual(parseConfig(printConfig(cfg))._unsafeUnwrap(), cfg)
   })
@@ -140,7 +140,7 @@
 `
 
 describe('parseNodeConfig', () => {
-  it('fills defaults in, and takes a key without a value for absent', (t) => {
+  it('fills in defaults and treats a key without a value as absent', (t) => {
     const { cfg } = parseNodeConfig(NODE)._unsafeUnwrap()
     t.is(cfg.listen.node_port, 7060)
     t.is(cfg.cloud.address, undefined)
@@ -161,7 +161,7 @@
     [['id = n1', 'id = n 1'], /\[node\] id: 'n 1' is not/],
   ]
   for (const [[from, to], message] of cases) {
-    it(`names the mistake in '${to.replaceAll('\n', ' ')}'`, (t) => {
+    it(`names the section and key of the mistake in '${to.replaceAll('\n', ' ')}'`, (t) => {
       const res = parseNodeConfig(NODE.replace(from, to), 'f.ini')
       t.regex(res._unsafeUnwrapErr().message, message)
       t.regex(res._unsafeUnwrapErr().message, /^f\.ini: /)
@@ -169,7 +169,7 @@
   }
 })
 
-describe('what of the settings of a node is not used', () => {
+describe('parseNodeConfig with unsupported settings', () => {
   const cases: [change: [string, string], ignored: RegExp][] = [
     [['hall = h1', 'hall = h1\nhal = h2'], /^\[node\] hal: unknown key$/],
     [['[cloud]', '[lanes]\ncount = 2\n[cloud]'], /^\[lanes\]: unknown section$/],
@@ -182,7 +182,7 @@
     [['[cloud]', '[log]\nlevel = loud\n[cloud]'], /^\[log\] level: /],
   ]
   for (const [[from, to], expected] of cases) {
-    it(`is named, and the rest is used, in '${to.replaceAll('\n', ' ')}'`, (t) => {
+    it(`reports and ignores the unsupported part, and uses the rest, of '${to.replaceAll('\n', ' ')}'`, (t) => {
       const { cfg, ignored } = parseNodeConfig(NODE.replace(from, to))._unsafeUnwrap()
       t.is(ignored.length, 1)
       t.regex(ignored[0]!, expected)
@@ -190,7 +190,7 @@
     })
   }
 
-  it('takes names as the platform gives them', (t) => {
+  it('accepts names in the form that the platform gives them', (t) => {
     const text = NODE.replace('id = n1', 'id = entry_7.hall-a').replace('h1', 'h_1')
     const { cfg, ignored } = parseNodeConfig(text)._unsafeUnwrap()
     t.deepEqual([cfg.node.id, cfg.node.hall], ['entry_7.hall-a', 'h_1'])
@@ -204,13 +204,13 @@
     return unknownContracts(parseNodeConfig(text)._unsafeUnwrap().cfg)
   }
 
-  it('takes the lists with and without health for known', (t) => {
+  it('returns nothing for the known contracts, with or without health', (t) => {
     const small = 'base,drain,config,cost,recover,sched,platform,advice,upkeep,sharing'
     t.deepEqual(unknownOf(small), [])
     t.deepEqual(unknownOf(small.replace('sched', 'health,sched')), [])
   })
 
-  it('names the contracts that this version does not know', (t) => {
+  it('names contracts that this version does not implement', (t) => {
     t.deepEqual(unknownOf('base,magic,sched'), ['magic'])
   })
 })
--- a/src/peer/__tests__/blockedProcess.spec.ts
+++ b/src/peer/__tests__/blockedProcess.spec.ts
@@ -10,12 +10,12 @@
 import { listenForPeers, createPeer } from '../peerLink.js'
 import { createMeteredAgent, createTrafficMeter } from '../traffic.js'
 
-/** Time between two syncs of the peer of these tests, in ms. */
+/** Sync interval of the peer in these tests, in ms. */
 const INTERVAL_MS = 20
-/** Longer than any silence that is borne here, in ms. */
+/** Longer than every time-out in these tests, in ms. */
 const BLOCKED_MS = 400
 
-/** Keeps the process from reading anything for so long. */
+/** Blocks the event loop, so that the process reads nothing meanwhile. */
 function blockEventLoop(ms: number): void {
   const endsAt = monotonicMs() + ms
   while (monotonicMs() < endsAt);
@@ -28,7 +28,7 @@
   return peer
 }
 
-/** A call whose answer has arrived once the process can read again. */
+/** A call whose reply arrives while the event loop is blocked. */
 function answerDuringBlock(signal: AbortSignal | undefined): Promise<string> {
   return new Promise((resolve, reject) => {
     signal?.addEventListener('abort', () => reject(signal.reason as Error))
@@ -43,20 +43,20 @@
     if (signal?.aborted) reject(signal.reason as Error)
   })
 
-describe('a process that could not read for a while', () => {
-  it('does not take its peers for silent', async (t) => {
+describe('a process whose event loop was blocked', () => {
+  it('still counts its peers as reached', async (t) => {
     const peer = peerWithReport()
     blockEventLoop(BLOCKED_MS)
     t.true(peer.isReached())
-    // What has arrived meanwhile is read after the timers that are due.
+    // Messages that arrived meanwhile are read after the timers that are due.
     setImmediate(() => peer.recordReport(peer.report!))
     await sleep(0)
     t.true(peer.isReached())
     peer.stopWatching()
   })
 
-  it('takes the answer that has arrived', async (t) => {
-    // From here on timers that are due run before anything is read.
+  it('uses a reply that arrived meanwhile', async (t) => {
+    // After this turn, timers that are due run before anything is read.
     await sleep(0)
     const answer = await callWithTimeout(50, ({ signal }) => answerDuringBlock(signal))
     t.is(answer, 'answer')
@@ -64,7 +64,7 @@
 })
 
 describe('a peer', () => {
-  it('is not reached before it has spoken, nor once it stays silent', async (t) => {
+  it('counts as reached after a report, until it falls silent or is no longer watched', async (t) => {
     const peer = peerWithReport()
     t.true(peer.isReached())
     while (peer.isReached()) await sleep(INTERVAL_MS)
@@ -75,13 +75,13 @@
     t.false(peer.isReached())
   })
 
-  it('that does not answer ends the call', async (t) => {
+  it('that does not reply makes the call time out', async (t) => {
     const call = callWithTimeout(50, ({ signal }) => unanswered(signal))
     const error = await t.throwsAsync(call, { instanceOf: ConnectError })
     t.is(error.code, Code.DeadlineExceeded)
   })
 
-  it('is called no longer once this process stops', async (t) => {
+  it('is no longer waited for once this process stops', async (t) => {
     const stopping = new AbortController()
     const hour = 3_600_000
     const run = ({ signal }: { signal?: AbortSignal }) => unanswered(signal)
@@ -94,12 +94,12 @@
   })
 })
 
-/** Time after which the agent closes an idle connection, in ms; the types leave it out. */
+/** Idle time-out of the agent, in ms; its types do not declare it. */
 const idleTimeoutMs = (agent: Agent) =>
   (agent as unknown as { options: { timeout: number } }).options.timeout
 
 describe('an idle connection between processes', () => {
-  it('is closed by the side that calls, so that no call meets one that closes', async (t) => {
+  it('is closed by the client first, so that no call is sent on one that the server closes', async (t) => {
     const meter = createTrafficMeter(createMetrics())
     const agent = createMeteredAgent(meter)
     const cfg = resolveConfig({
@@ -119,7 +119,7 @@
     })
     agent.destroy()
     const keptMs = Number(/^timeout=(\d+)$/.exec(keepAliveHeader)?.[1]) * 1000
-    // Twice as long: a timer of the calling side may be late as well.
+    // Factor of 2: the client's timer may fire late as well.
     t.true(keptMs >= 2 * idleTimeoutMs(agent), keepAliveHeader)
   })
 })
--- a/src/peer/__tests__/peers.spec.ts
+++ b/src/peer/__tests__/peers.spec.ts
@@ -51,7 +51,7 @@
     t.deepEqual(source, table)
   })
 
-  it('give rows and table to an entry that starts while the platform is away', async (t) => {
+  it('supply rows and table to an entry that starts while the platform is unreachable', async (t) => {
     const { cluster } = await setUp(t, { halls: ['h1'] })
     const [first] = cluster.nodes
     const rows = first!.kernel.get('rows')
@@ -64,7 +64,7 @@
     t.deepEqual([...fresh.get('rows').rows.keys()].sort(), [...rows.rows.keys()].sort())
   })
 
-  it('tell an unrepeatable request from its repeat at every entry', async (t) => {
+  it('detect a repeated unrepeatable request at every entry', async (t) => {
     const { cluster } = await setUp(t)
     const serves = (index: number) =>
       cluster.nodes[index]!.kernel.get('view').targets('s').length > 0
@@ -86,7 +86,7 @@
     }
   })
 
-  it('tell each other of a target that drains, with the platform away', async (t) => {
+  it('notify each other of a draining target while the platform is unreachable', async (t) => {
     const { cluster } = await setUp(t, { halls: ['h1'] })
     const targetsOf = (index: number) =>
       cluster.nodes[index]!.kernel.get('view').targets('s')
@@ -102,7 +102,7 @@
   })
 
   describe('hostile messages', () => {
-    it('are refused, and the process goes on', async (t) => {
+    it('are refused, and the process keeps running', async (t) => {
       const { cluster, events } = await setUp(t, { halls: ['h1'] })
       const { peer_port: port } = cluster.nodes[0]!.cfg.listen
       const method = fc.constantFrom(
--- a/src/programs/__tests__/programs.spec.ts
+++ b/src/programs/__tests__/programs.spec.ts
@@ -30,7 +30,7 @@
 const run = (...args: string[]) => finish(spawn(process.execPath, [ENTRY, ...args]))
 
 describe('rillshunt-entry', () => {
-  it('checks and prints settings', async (t) => {
+  it('validates and prints settings', async (t) => {
     const file = await configFile(GOOD)
     t.like(await run('--config', file, '--check-config'), { code: 0 })
     const printed = await run('--config', file, '--print-config')
@@ -46,7 +46,7 @@
     t.is((await run('--nope')).code, 2)
   })
 
-  it('starts with the platform away, and stops as planned on SIGTERM', async (t) => {
+  it('starts while the platform is unreachable and stops as planned on SIGTERM', async (t) => {
     const file = await configFile(`${GOOD}[requests]\ndrain_notice = 10ms\n`)
     const child = spawn(process.execPath, [ENTRY, '--config', file])
     const ended = finish(child)
