--- a/src/cli/nodeJobCommands.ts
+++ b/src/cli/nodeJobCommands.ts
@@ -52,8 +52,8 @@
     if (entry.kind !== 'job') return []
     const jobProgress = progress.get(entry.id)
     const cancelled = cancels.has(entry.id)
-    const isUnread = progress.has(entry.id) && !jobProgress
-    const status = isUnread ? 'unreadable' : storedStatus(cancelled, jobProgress)
+    const isUnreadable = progress.has(entry.id) && !jobProgress
+    const status = isUnreadable ? 'unreadable' : storedStatus(cancelled, jobProgress)
     return { job: entry.job, cancelled, progress: jobProgress, status }
   })
 }
--- a/src/config/nodeConfig.ts
+++ b/src/config/nodeConfig.ts
@@ -10,7 +10,7 @@
 import { KEYS_WITH_FALLBACK, nodeConfigSchema } from './nodeSchema.js'
 import type { NodeConfig } from './nodeSchema.js'
 import { INLINE_SOURCE, loadSettings, resolveSections } from './resolveConfig.js'
-import type { Sections } from './resolveConfig.js'
+import type { RawSections } from './resolveConfig.js'
 
 /** Settings of a node, and the parts of the file that are ignored. */
 export interface LoadedNodeConfig {
@@ -21,7 +21,7 @@
 
 /** A settings file split into the parts that are used and messages about the others. */
 interface SeparatedSettings {
-  used: Sections
+  used: RawSections
   ignored: string[]
 }
 
--- a/src/config/resolveConfig.ts
+++ b/src/config/resolveConfig.ts
@@ -12,12 +12,12 @@
 export const INLINE_SOURCE = 'settings'
 
 /** Settings as a file holds them: text values by section and key. */
-export type Sections = Record<string, Record<string, unknown>>
+export type RawSections = Record<string, Record<string, unknown>>
 
 /** Validates settings by a schema and fills in defaults. Errors name section and key. */
 export function resolveSections<S extends z.ZodObject>(
   schema: S,
-  user: Sections,
+  user: RawSections,
   source: string,
 ): Result<z.output<S>, ConfigError> {
   const emptySections = Object.keys(schema.shape).map((name) => [name, {}])
@@ -41,7 +41,7 @@
     const message = `key '${key}' stands before any section; allowed sections: ${sections}`
     return err(configError(`${source}: ${message}`))
   }
-  return resolveSections(schema, parsed as Sections, source)
+  return resolveSections(schema, parsed as RawSections, source)
 }
 
 /** Validates settings given as an object. Errors name section and key. */
@@ -49,7 +49,7 @@
   user: UserConfig,
   source: string = INLINE_SOURCE,
 ): Result<ResolvedConfig, ConfigError> {
-  return resolveSections(configSchema, user as Sections, source)
+  return resolveSections(configSchema, user as RawSections, source)
 }
 
 /** Parses settings from INI text. */
@@ -116,7 +116,7 @@
 function describeIssue(
   schema: z.ZodObject,
   issue: z.core.$ZodIssue,
-  user: Sections,
+  user: RawSections,
 ): string[] {
   const [section, key] = issue.path.map(String)
   if (issue.code === 'unrecognized_keys') {
@@ -124,8 +124,8 @@
   }
   if (section === undefined) return [issue.message]
   if (key === undefined) return [`[${section}]: ${issue.message}`]
-  const given = user[section]?.[key]
-  if (given === undefined) return [`[${section}] ${key}: is required`]
+  const rawValue = user[section]?.[key]
+  if (rawValue === undefined) return [`[${section}] ${key}: is required`]
   return [`[${section}] ${key}: ${issue.message}`]
 }
 
--- a/src/peer/__tests__/peers.spec.ts
+++ b/src/peer/__tests__/peers.spec.ts
@@ -10,7 +10,7 @@
 
 async function setUp(
   t: ExecutionContext,
-  over: Partial<Parameters<typeof startCluster>[0]> = {},
+  overrides: Partial<Parameters<typeof startCluster>[0]> = {},
 ) {
   const events = new Map<string, LoggedEvent[]>()
   const cluster = await startCluster({
@@ -20,19 +20,19 @@
     workersPerHall: 1,
     seed: 1,
     table: ONE_SERVICE,
-    settings: { requests: { drain_notice: '0ms' }, ...over.settings },
+    settings: { requests: { drain_notice: '0ms' }, ...overrides.settings },
     log(node) {
       const log = createMemoryLogger()
       events.set(node, log.events)
       return log
     },
-    ...over,
+    ...overrides,
   })
   t.teardown(() => cluster.stop())
   return { cluster, events }
 }
 
-async function until(check: () => boolean): Promise<void> {
+async function waitUntil(check: () => boolean): Promise<void> {
   while (!check()) await new Promise((resolve) => setTimeout(resolve, 10))
 }
 
@@ -42,11 +42,11 @@
 describe('peers', () => {
   it('bring an accepted table to entries that are cut off from the platform', async (t) => {
     const { cluster } = await setUp(t)
-    await until(() => cluster.nodes.every((_, i) => epochOf(cluster, i) === 1))
+    await waitUntil(() => cluster.nodes.every((_, i) => epochOf(cluster, i) === 1))
     for (const id of ['h2-e1', 'h2-e2']) cluster.platform.faults.cut.add(id)
     const table = { ...ONE_SERVICE, 'pool/p': { weight: '2', limit: '10' } }
     await cluster.accept(table)
-    await until(() => cluster.nodes.every((_, i) => epochOf(cluster, i) === 2))
+    await waitUntil(() => cluster.nodes.every((_, i) => epochOf(cluster, i) === 2))
     const source = cluster.nodes[2]!.kernel.get('table').current()?.accepted.raw
     t.deepEqual(source, table)
   })
@@ -55,20 +55,23 @@
     const { cluster } = await setUp(t, { halls: ['h1'] })
     const [first] = cluster.nodes
     const rows = first!.kernel.get('rows')
-    await until(() => [...rows.rows.keys()].some((key) => key.startsWith('jobs/h1/')))
+    await waitUntil(() => [...rows.rows.keys()].some((key) => key.startsWith('jobs/h1/')))
     cluster.platform.faults.outage = true
     await cluster.restartNode('h1-e2')
-    const fresh = cluster.nodes.find(({ id }) => id === 'h1-e2')!.kernel
-    await until(() => fresh.get('table').current()?.epoch === 1)
-    await until(() => fresh.get('rows').rows.size > 0)
-    t.deepEqual([...fresh.get('rows').rows.keys()].sort(), [...rows.rows.keys()].sort())
+    const restarted = cluster.nodes.find(({ id }) => id === 'h1-e2')!.kernel
+    await waitUntil(() => restarted.get('table').current()?.epoch === 1)
+    await waitUntil(() => restarted.get('rows').rows.size > 0)
+    t.deepEqual(
+      [...restarted.get('rows').rows.keys()].sort(),
+      [...rows.rows.keys()].sort(),
+    )
   })
 
   it('detect a repeated unrepeatable request at every entry', async (t) => {
     const { cluster } = await setUp(t)
     const serves = (index: number) =>
       cluster.nodes[index]!.kernel.get('view').targets('s').length > 0
-    await until(() => cluster.nodes.every((_, index) => serves(index)))
+    await waitUntil(() => cluster.nodes.every((_, index) => serves(index)))
     const send = async (index: number, id: string) => {
       const res = await request(`${cluster.nodes[index]!.url}/s/activate`, {
         method: 'POST',
@@ -90,13 +93,13 @@
     const { cluster } = await setUp(t, { halls: ['h1'] })
     const targetsOf = (index: number) =>
       cluster.nodes[index]!.kernel.get('view').targets('s')
-    await until(() => [0, 1].every((index) => targetsOf(index).length === 2))
+    await waitUntil(() => [0, 1].every((index) => targetsOf(index).length === 2))
     cluster.platform.faults.outage = true
     for (const { job } of targetsOf(0)) {
       cluster.fleet.targetOf(job)!.drain()
       const knows = (index: number) =>
         targetsOf(index).some((target) => target.job === job && target.draining)
-      await until(() => [0, 1].every(knows))
+      await waitUntil(() => [0, 1].every(knows))
     }
     t.pass()
   })
@@ -143,7 +146,7 @@
       )
       t.is(epochOf(cluster, 0), 1)
       t.true(events.get('h1-e1')!.some(({ name }) => name === 'peerMessageRefused'))
-      await until(
+      await waitUntil(
         () => cluster.nodes[0]!.kernel.get('peers').peers()[0]?.report !== undefined,
       )
     })
--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -40,7 +40,7 @@
 >
 
 /** The entry's handlers for loans and claims in messages between peers. */
-export interface EntryExchange {
+export interface EntryHandlers {
   loans: Pick<Allotments, 'messageFor' | 'receive'>
   once: Once['answer']
 }
@@ -51,7 +51,7 @@
   /** Claim calls of the entry to a peer; they reject if their effect is unknown. */
   oncePeers: OncePeers
   /** Sets the handlers of the entry. */
-  setExchange(exchange: EntryExchange): void
+  setEntryHandlers(entryHandlers: EntryHandlers): void
   /** Sets the source of the entry's report fields. */
   setReportSource(reportSource: ReportSource): void
   /** Calls the listener after each report of a peer; returns the unsubscribe function. */
@@ -90,7 +90,7 @@
   const { cfg, rows, table, log, metrics } = opts
   const stopping = createStopController()
   let reportSource = EMPTY_REPORT_SOURCE
-  let exchange: EntryExchange | undefined
+  let entryHandlers: EntryHandlers | undefined
   const listeners = new Set<() => void>()
   const sharing = createDataSharing({ hall: cfg.node.hall, table, rows })
   const meter = createTrafficMeter(metrics)
@@ -156,13 +156,13 @@
   }
 
   function loansFor(peer: string): Loans | undefined {
-    const message = exchange?.loans.messageFor(peer)
+    const message = entryHandlers?.loans.messageFor(peer)
     return message && encodeLoans(message)
   }
 
   function receiveLoans(peer: string, loans: Loans | undefined): void {
     if (!loans || loans.lines.length > MAX_SERVICE_LOADS) return
-    exchange?.loans.receive(peer, decodeLoans(loans))
+    entryHandlers?.loans.receive(peer, decodeLoans(loans))
   }
 
   async function call(
@@ -240,7 +240,7 @@
         return { epoch: BigInt(sharing.epoch()) }
       },
       ...onceRoutes(
-        () => exchange?.once,
+        () => entryHandlers?.once,
         (id) => peers.has(id),
       ),
       ...sharing.routes,
@@ -254,7 +254,7 @@
     peers: () => [...peers.values()],
     ownReport,
     oncePeers: createOncePeers(cfg.node.id, (id) => peers.get(id)?.client),
-    setExchange: (next) => (exchange = next),
+    setEntryHandlers: (next) => (entryHandlers = next),
     setReportSource: (next) => (reportSource = next),
     subscribe(listener) {
       listeners.add(listener)
--- a/src/programs/__tests__/programs.spec.ts
+++ b/src/programs/__tests__/programs.spec.ts
@@ -16,7 +16,7 @@
   return file
 }
 
-async function finish(
+async function collectOutput(
   child: ChildProcess,
 ): Promise<{ code: number | null; out: string; err: string }> {
   let out = ''
@@ -27,7 +27,8 @@
   return { code, out, err }
 }
 
-const run = (...args: string[]) => finish(spawn(process.execPath, [ENTRY, ...args]))
+const run = (...args: string[]) =>
+  collectOutput(spawn(process.execPath, [ENTRY, ...args]))
 
 describe('rillshunt-entry', () => {
   it('validates and prints settings', async (t) => {
@@ -49,7 +50,7 @@
   it('starts while the platform is unreachable and stops as planned on SIGTERM', async (t) => {
     const file = await configFile(`${GOOD}[requests]\ndrain_notice = 10ms\n`)
     const child = spawn(process.execPath, [ENTRY, '--config', file])
-    const ended = finish(child)
+    const ended = collectOutput(child)
     await new Promise<void>((resolve) => {
       child.stdout!.on('data', (chunk) => String(chunk).includes('RS-1001') && resolve())
     })
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -197,7 +197,7 @@
         log,
         metrics: get('metrics'),
       })
-      peers.setExchange({ loans: allotments, once: once.answer })
+      peers.setEntryHandlers({ loans: allotments, once: once.answer })
       peers.setReportSource(() => ({
         routes: true,
         leaving: view.leaving().map((each) => ({ $typeName: LEAVING_VM_TYPE, ...each })),
