--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -17,7 +17,7 @@
 /** Number of newest event batches that are read. */
 const MAX_BATCHES = 500
 const READ_BATCH_SIZE = 20
-/** Fields that the last column leaves out. */
+/** Fields that the last column leaves out; the hall has a column of its own. */
 const OMITTED_FIELDS = new Set(['hall', 'node', 'component'])
 
 /** `explain KIND ID` */
--- a/src/config/nodeSchema.ts
+++ b/src/config/nodeSchema.ts
@@ -1,4 +1,4 @@
-/** Settings of `rillshunt-node`; `docs/config.md` lists every key. */
+/** Settings of `rillshunt-node`; `docs/node-config.md` lists every key. */
 import { z } from 'zod'
 import {
   identifierList,
@@ -38,7 +38,7 @@
     hall: nodeName(),
     /** Printed in every log line; has no other effect. @default 'entry' */
     role: nodeName().prefault('entry'),
-    /** Cores that the node may use; nodes with more own services first. @default 1 */
+    /** Cores that the node may use; nodes with more cores come first as owners. @default 1 */
     cpu_share: positiveNumber().prefault('1'),
     /** Bandwidth of the node's link, in Mbit/s. @default 1000 */
     link_mbps: positiveNumber().prefault('1000'),
--- a/src/config/values.ts
+++ b/src/config/values.ts
@@ -86,7 +86,7 @@
     IDENTIFIER.test(text) ? text : undefined,
   )
 
-/** Longest name, in bytes: a name is part of a store key, which may have 200 bytes. */
+/** Longest name, in bytes: it is used as a store key, which may have 200 bytes. */
 const MAX_NODE_NAME_LENGTH = 150
 
 /** A name that the platform gives to a node or a data hall: printable, without blanks. */
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -141,7 +141,7 @@
 
 /**
  * Whether the platform stores no earlier incarnation of the entry; if so, stores this one.
- * False if the platform does not confirm the write.
+ * False if the read or the write fails.
  */
 async function isFirstIncarnation(platform: Platform, entry: string): Promise<boolean> {
   const key = lifeKey(entry)
