--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -127,7 +127,7 @@
         peer: report?.node,
         reason: 'report exceeds the limits',
       })
-      throw new ConnectError('report exceeds the limits', Code.InvalidArgument)
+      throw new ConnectError('report is over the bounds', Code.InvalidArgument)
     }
     const peer = peers.get(report.node)
     if (!peer || peer.address.hall !== report.hall) {
@@ -135,10 +135,7 @@
         peer: report.node,
         reason: 'peer is not in the settings',
       })
-      throw new ConnectError(
-        `'${report.node}' is not a peer of this process`,
-        Code.PermissionDenied,
-      )
+      throw new ConnectError(`'${report.node}' is no peer of mine`, Code.PermissionDenied)
     }
     peer.recordReport(report)
     if (peer.isLost) log.event('peerBack', { peer: peer.id, hall: report.hall })
@@ -232,8 +229,7 @@
       },
       pushHead(req) {
         const peer = peers.get(req.node)
-        if (!peer)
-          throw new ConnectError('peer is not in the settings', Code.PermissionDenied)
+        if (!peer) throw new ConnectError('not in the settings', Code.PermissionDenied)
         if (peer.report) peer.report.epoch = req.epoch
         if (Number(req.epoch) > sharing.epoch())
           void fetchNewerTable(peer, Number(req.epoch))
--- a/src/peer/oncePeers.ts
+++ b/src/peer/oncePeers.ts
@@ -87,12 +87,9 @@
   function answersFor(node: string): Once['answer'] {
     const found = answer()
     if (!isPeer(node))
-      throw new ConnectError('caller is not in the settings', Code.PermissionDenied)
+      throw new ConnectError('not in the settings', Code.PermissionDenied)
     if (found) return found
-    throw new ConnectError(
-      'this process is not an entry, or is still starting',
-      Code.Unavailable,
-    )
+    throw new ConnectError('this process is no entry, or is starting', Code.Unavailable)
   }
   return {
     claimId(req) {
@@ -104,8 +101,7 @@
     },
     settle(req) {
       const state = settleSchema.safeParse(req.state)
-      if (!state.success)
-        throw new ConnectError('unknown claim state', Code.InvalidArgument)
+      if (!state.success) throw new ConnectError('no such state', Code.InvalidArgument)
       answersFor(req.node).settle(req.id, state.data)
       return {}
     },
@@ -113,8 +109,7 @@
     handOver(req) {
       const answer = answersFor(req.node)
       const claims = fromThrowable(decodeClaims)(req.claims)
-      if (claims.isErr())
-        throw new ConnectError('unknown claim state', Code.InvalidArgument)
+      if (claims.isErr()) throw new ConnectError('no such state', Code.InvalidArgument)
       answer.handOver(req.node, { claims: claims.value, complete: req.complete })
       return {}
     },
--- a/src/peer/sharing.ts
+++ b/src/peer/sharing.ts
@@ -25,8 +25,7 @@
       return { acceptedJson: accepted ? JSON.stringify(accepted) : '' }
     },
     fetchRows(req) {
-      if (req.hall !== hall)
-        throw new ConnectError('rows of another hall requested', Code.InvalidArgument)
+      if (req.hall !== hall) throw new ConnectError('another hall', Code.InvalidArgument)
       const rowsJson = JSON.stringify({ rows: [...rows.rows.values()] })
       return { revision: BigInt(rows.revision()), rowsJson }
     },
