--- a/src/cli/sheetCommands.ts
+++ b/src/cli/csvCommands.ts
@@ -1,16 +1,16 @@
-/** `rillshunt table import|export`: the table as a CSV sheet. */
+/** `rillshunt table import|export`: reads and writes the table as CSV. */
 import { readFile, writeFile } from 'node:fs/promises'
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import { diffTables, exportCsv, importCsv } from '../table/index.js'
-import { PlatformCommand, need } from './base.js'
+import { PlatformCommand, unwrap } from './base.js'
 import type { Session } from './base.js'
 
 /** `table import FILE` */
 export class TableImport extends PlatformCommand {
   static override paths = [['table', 'import']]
   static override usage = PlatformCommand.Usage({
-    description: 'make the draft equal to a CSV sheet',
+    description: 'replace the draft with the table in a CSV file',
   })
   file = Option.String()
 
@@ -20,10 +20,10 @@
     const sheet = importCsv(text)
     if (sheet.isErr())
       return this.fail(`${this.file}: ${sheet.error.message}`, EXIT.refused)
-    const { head } = need(await store.draft(editor))
+    const { head } = unwrap(await store.draft(editor))
     const edits = diffTables(head?.raw ?? {}, sheet.value, editor)
-    need(await store.discard(editor))
-    if (edits.length > 0) need(await store.edit(editor, edits))
+    unwrap(await store.discard(editor))
+    if (edits.length > 0) unwrap(await store.edit(editor, edits))
     this.print({ edits }, () => `draft of ${editor}: ${edits.length} edited cells`)
     return EXIT.ok
   }
@@ -33,12 +33,12 @@
 export class TableExport extends PlatformCommand {
   static override paths = [['table', 'export']]
   static override usage = PlatformCommand.Usage({
-    description: 'write the accepted table as a CSV sheet',
+    description: 'write the accepted table as CSV',
   })
   file = Option.String({ required: false })
 
   async run({ store }: Session): Promise<number> {
-    const raw = need(await store.head())?.raw ?? {}
+    const raw = unwrap(await store.head())?.raw ?? {}
     if (this.json) this.print(raw, () => '')
     else if (this.file === undefined) this.context.stdout.write(exportCsv(raw))
     else await writeFile(this.file, exportCsv(raw))
--- a/src/cli/draftCommands.ts
+++ b/src/cli/draftCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt table show|set|unset|remove|diff|discard`: the accepted table and the draft. */
+/** `rillshunt table show|set|unset|remove|diff|discard`: the table and its draft. */
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import {
@@ -10,19 +10,21 @@
   splitRow,
 } from '../table/index.js'
 import type { CellEdit, RawTable } from '../table/index.js'
-import { PlatformCommand, need, showCell } from './base.js'
+import { PlatformCommand, unwrap, formatCell } from './base.js'
 import type { Session } from './base.js'
 
 /** `table show` */
 export class TableShow extends PlatformCommand {
   static override paths = [['table', 'show']]
   static override usage = PlatformCommand.Usage({
-    description: 'show the accepted table, or the draft over it',
+    description: 'show the accepted table, with or without the draft',
+  })
+  draft = Option.Boolean('--draft', false, {
+    description: 'apply the edits of the draft',
   })
-  draft = Option.Boolean('--draft', false, { description: 'with the edits of the draft' })
 
   async run({ store, editor }: Session): Promise<number> {
-    const view = need(await store.draft(editor))
+    const view = unwrap(await store.draft(editor))
     const base = view.head?.raw ?? {}
     const raw = this.draft ? applyEdits(base, view.draft.edits) : base
     this.print({ epoch: view.head?.epoch ?? 0, table: raw }, () =>
@@ -42,7 +44,7 @@
           splitRow(row)!.name,
           ...columns.map((column) => raw[row]?.[column] ?? '-'),
         ])
-      return [this.grid([kind, ...columns], lines)]
+      return [this.formatTable([kind, ...columns], lines)]
     })
     const title = `epoch ${view.head?.epoch ?? 0}${this.draft ? ' with the draft' : ''}`
     return [title, ...parts].join('\n\n')
@@ -63,10 +65,11 @@
     const parts = splitRow(this.row)
     if (!parts)
       return this.fail(
-        `'${this.row}' is no pool/NAME, service/NAME or wave/NAME`,
+        `'${this.row}' is not of the form pool/NAME, service/NAME or wave/NAME`,
         EXIT.usage,
       )
-    if (this.cells.length % 2 > 0) return this.fail('give COLUMN VALUE pairs', EXIT.usage)
+    if (this.cells.length % 2 > 0)
+      return this.fail('arguments after ROW must be COLUMN VALUE pairs', EXIT.usage)
     const edits: Omit<CellEdit, 'editor'>[] = []
     for (let i = 0; i < this.cells.length; i += 2) {
       const column = this.cells[i]!
@@ -79,7 +82,7 @@
       }
       edits.push({ row: this.row, column, value: this.cells[i + 1]! })
     }
-    const draft = need(await store.edit(editor, edits))
+    const draft = unwrap(await store.edit(editor, edits))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -89,14 +92,14 @@
 export class TableUnset extends PlatformCommand {
   static override paths = [['table', 'unset']]
   static override usage = PlatformCommand.Usage({
-    description: 'set a cell of the draft back to its default',
+    description: 'reset a cell of the draft to its default',
   })
   row = Option.String()
   column = Option.String()
 
   async run({ store, editor }: Session): Promise<number> {
     const edit = { row: this.row, column: this.column, value: null }
-    const draft = need(await store.edit(editor, [edit]))
+    const draft = unwrap(await store.edit(editor, [edit]))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -112,7 +115,7 @@
 
   async run({ store, editor }: Session): Promise<number> {
     const edit = { row: this.row, column: WHOLE_LINE, value: null }
-    const draft = need(await store.edit(editor, [edit]))
+    const draft = unwrap(await store.edit(editor, [edit]))
     this.print(draft, () => `draft of ${editor}: ${draft.edits.length} edited cells`)
     return EXIT.ok
   }
@@ -122,11 +125,11 @@
 export class TableDiff extends PlatformCommand {
   static override paths = [['table', 'diff']]
   static override usage = PlatformCommand.Usage({
-    description: 'show the draft against the accepted table',
+    description: 'show the changes of the draft to the accepted table',
   })
 
   async run({ store, editor }: Session): Promise<number> {
-    const { head, draft } = need(await store.draft(editor))
+    const { head, draft } = unwrap(await store.draft(editor))
     const base = head?.raw ?? {}
     const changes = diffTables(base, applyEdits(base, draft.edits), editor)
     this.print({ base: draft.base, changes }, () => this.describe(changes, base))
@@ -139,8 +142,8 @@
     return changes
       .map(({ row, column, value }) => {
         if (column === WHOLE_LINE) return red(`- ${row}`)
-        const before = showCell(base[row]?.[column] ?? null)
-        return `${row} ${column}: ${red(before)} -> ${green(showCell(value))}`
+        const before = formatCell(base[row]?.[column] ?? null)
+        return `${row} ${column}: ${red(before)} -> ${green(formatCell(value))}`
       })
       .join('\n')
   }
@@ -149,10 +152,10 @@
 /** `table discard` */
 export class TableDiscard extends PlatformCommand {
   static override paths = [['table', 'discard']]
-  static override usage = PlatformCommand.Usage({ description: 'throw the draft away' })
+  static override usage = PlatformCommand.Usage({ description: 'discard the draft' })
 
   async run({ store, editor }: Session): Promise<number> {
-    need(await store.discard(editor))
+    unwrap(await store.discard(editor))
     this.print({ discarded: true }, () => `draft of ${editor} discarded`)
     return EXIT.ok
   }
--- a/src/cli/nodeJobCommands.ts
+++ b/src/cli/nodeJobCommands.ts
@@ -1,4 +1,4 @@
-/** `rillshunt node jobs` and `explain`: jobs of the nodes, read from the store. */
+/** `rillshunt node jobs|explain`: jobs of the nodes, read from the store. */
 import { Option } from 'clipanion'
 import {
   ENDED_TABLE,
@@ -12,13 +12,13 @@
 import type { JobSpec, JobStatus, Progress } from '../jobs/index.js'
 import type { RowStore } from '../ports/index.js'
 import { EXIT } from '../shared/index.js'
-import { StoreCommand, rowsOf } from './addressed.js'
-import { askOwner, describeOwner } from './waitQuestion.js'
+import { StoreCommand, readAllRows } from './addressedCommand.js'
+import { askWhyJobWaits, describeAnswer } from './waitReason.js'
 
-/** The state of a job, or that its progress cannot be read: it is held. */
+/** State of a job; `unreadable` if its progress cannot be read, which puts it on hold. */
 type ListedStatus = JobStatus | 'unreadable'
 
-/** A job as it is listed. */
+/** A job as `node jobs` lists it. */
 interface ListedJob {
   id: string
   queue: string
@@ -28,7 +28,7 @@
   acceptedAtMs: number
 }
 
-/** A job that is not over, with what the store knows of it. */
+/** A job that has not ended, with its stored state. */
 interface OpenJob {
   job: JobSpec
   cancelled: boolean
@@ -36,13 +36,13 @@
   status: ListedStatus
 }
 
-/** Every accepted job that is not over, with its progress and state. */
+/** Reads all accepted jobs that have not ended, with progress and state. */
 async function readOpenJobs(store: RowStore): Promise<OpenJob[]> {
   const progress = new Map<string, Progress | undefined>()
-  for (const row of await rowsOf(store, PROGRESS_TABLE)) {
+  for (const row of await readAllRows(store, PROGRESS_TABLE)) {
     progress.set(row.key, decodeProgress(row.value))
   }
-  const entries = (await rowsOf(store, INTAKE_TABLE)).map((row) =>
+  const entries = (await readAllRows(store, INTAKE_TABLE)).map((row) =>
     decodeIntake(row, row.value),
   )
   const cancels = new Set(
@@ -50,23 +50,23 @@
   )
   return entries.flatMap((entry) => {
     if (entry.kind !== 'job') return []
-    const known = progress.get(entry.id)
+    const jobProgress = progress.get(entry.id)
     const cancelled = cancels.has(entry.id)
-    const isUnread = progress.has(entry.id) && !known
-    const status = isUnread ? 'unreadable' : storedStatus(cancelled, known)
-    return { job: entry.job, cancelled, progress: known, status }
+    const isUnreadable = progress.has(entry.id) && !jobProgress
+    const status = isUnreadable ? 'unreadable' : storedStatus(cancelled, jobProgress)
+    return { job: entry.job, cancelled, progress: jobProgress, status }
   })
 }
 
-/** What is kept of every job that is over. */
+/** Reads the stored summaries of all ended jobs. */
 async function readEndedJobs(store: RowStore): Promise<ListedJob[]> {
-  return (await rowsOf(store, ENDED_TABLE)).flatMap((row) => {
+  return (await readAllRows(store, ENDED_TABLE)).flatMap((row) => {
     const ended = decodeEnded(row.value)
     return ended ? { id: row.key, ...ended, status: ended.outcome } : []
   })
 }
 
-const listed = ({ job, status }: OpenJob): ListedJob => ({
+const toListedJob = ({ job, status }: OpenJob): ListedJob => ({
   id: job.id,
   queue: job.queue,
   service: job.service,
@@ -85,8 +85,8 @@
   state = Option.String('--state', { description: 'only jobs in this state' })
 
   async run(store: RowStore): Promise<number> {
-    // The open ones first: a job that is over meanwhile is then among both, never in none.
-    const open = (await readOpenJobs(store)).map(listed)
+    // Open jobs first: a job that ends between the reads is then in both lists, not in none.
+    const open = (await readOpenJobs(store)).map(toListedJob)
     const ended = await readEndedJobs(store)
     const byId = new Map([...open, ...ended].map((job) => [job.id, job]))
     const jobs = [...byId.values()]
@@ -102,27 +102,27 @@
       new Date(job.acceptedAtMs).toISOString(),
     ])
     const head = ['job', 'queue', 'service', 'state', 'tasks', 'accepted']
-    this.print(jobs, () => this.grid(head, lines))
+    this.print(jobs, () => this.formatTable(head, lines))
     return EXIT.ok
   }
 }
 
-/** What a progress row says of a step of the first repetition. */
+/** Counts done tasks and failed runs of a step in the first repetition. */
 function countStep(progress: Progress | undefined, index: number, tasks: number) {
   const done = progress?.done[`0.${index}`] ?? []
-  const whole = done === 'all' || progress?.outcome === 'completed'
+  const isDone = done === 'all' || progress?.outcome === 'completed'
   const prefix = `0.${index}.`
   const failedRuns = Object.entries(progress?.failedRuns ?? {})
     .filter(([task]) => task.startsWith(prefix))
     .reduce((sum, [, runs]) => sum + runs.length, 0)
-  return { done: whole ? tasks : done.length, failedRuns }
+  return { done: isDone ? tasks : done.length, failedRuns }
 }
 
 /** `node explain JOB` */
 export class NodeExplain extends StoreCommand {
   static override paths = [['node', 'explain']]
   static override usage = StoreCommand.Usage({
-    description: 'what is known of one job, step by step, and why it waits',
+    description: 'show the progress of a job by step, and why it waits',
   })
   id = Option.String({ required: true })
 
@@ -135,19 +135,19 @@
       return [index, after.join(',') || '-', count, known.done, known.failedRuns]
     })
     const head = ['step', 'after', 'tasks', 'done', 'failed runs']
-    const owner = await askOwner(store, job)
+    const owner = await askWhyJobWaits(store, job)
     this.print({ ...found, owner }, () =>
       [
         `job ${job.id} of queue ${job.queue}: ${status}`,
         `service ${job.service}, accepted ${new Date(job.acceptedAtMs).toISOString()}`,
-        this.grid(head, lines),
-        describeOwner(owner),
+        this.formatTable(head, lines),
+        describeAnswer(owner),
       ].join('\n'),
     )
     return EXIT.ok
   }
 
-  /** Of a job that is over only its outcome is kept. */
+  /** Shows an ended job, of which only a summary with the outcome is stored. */
   private async explainEnded(store: RowStore): Promise<number> {
     const ended = (await readEndedJobs(store)).find(({ id }) => id === this.id)
     if (!ended) return this.fail(`no job ${this.id} is in the store`, EXIT.failed)
--- a/src/cli/waitQuestion.ts
+++ b/src/cli/waitReason.ts
@@ -6,26 +6,30 @@
 import { waitReportSchema } from '../scheduler/index.js'
 import type { WaitReport } from '../scheduler/index.js'
 import { parseJson } from '../shared/index.js'
-import { rowsOf } from './addressed.js'
+import { readAllRows } from './addressedCommand.js'
 
-/** Longest wait for the owner, in ms; an operator then looks at its log. */
+/** Time-out of the call to the owner, in ms. After it, operators look at the owner's log. */
 const ASK_TIMEOUT_MS = 2000
 
-/** What the owner says; without a node nobody owns the service. */
-export interface OwnerWord {
+/** Reply of the owner, or why there is none. */
+export interface OwnerAnswer {
+  /** Owner of the service; undefined if it has none. */
   node: string | undefined
-  /** Why it could not be asked. */
+  /** Why the owner could not be asked. */
   failure: string | undefined
   /** Undefined when the job does not wait. */
   wait: WaitReport | undefined
 }
 
-/** Asks the owner, as the rows name it. */
-export async function askOwner(store: RowStore, job: JobSpec): Promise<OwnerWord> {
-  const epochs = await rowsOf(store, EPOCH_TABLE)
+/** Asks the owner that the stored rows name. */
+export async function askWhyJobWaits(
+  store: RowStore,
+  job: JobSpec,
+): Promise<OwnerAnswer> {
+  const epochs = await readAllRows(store, EPOCH_TABLE)
   const row = epochs.find(({ part }) => part === job.service)
   const node = (row && decodeEpoch(row.value)?.node) || undefined
-  const nodes = await rowsOf(store, NODES_TABLE)
+  const nodes = await readAllRows(store, NODES_TABLE)
   const nodeRow = nodes.find(({ key }) => key === node)
   const address = nodeRow && decodeNode(nodeRow.value)?.address
   if (address === undefined) return { node, failure: 'no address', wait: undefined }
@@ -46,8 +50,8 @@
   }
 }
 
-/** One line for an operator. */
-export function describeOwner({ node, failure, wait }: OwnerWord): string {
+/** Formats the answer as one line of text. */
+export function describeAnswer({ node, failure, wait }: OwnerAnswer): string {
   if (node === undefined) return 'no node owns the service: the job waits for one'
   if (failure !== undefined) return `its owner ${node} could not be asked: ${failure}`
   if (!wait) return `its owner ${node} says that it does not wait`
--- a/src/config/resolveConfig.ts
+++ b/src/config/resolveConfig.ts
@@ -1,4 +1,4 @@
-/** Reads, checks and prints settings. */
+/** Reads, validates and prints settings. */
 import { readFile } from 'node:fs/promises'
 import { parse, stringify } from 'ini'
 import { err, ok } from 'neverthrow'
@@ -8,22 +8,24 @@
 import { configSchema } from './schema.js'
 import type { ResolvedConfig, UserConfig } from './schema.js'
 
-/** Name in messages for settings that come from no file. */
+/** Source named in error messages if the settings do not come from a file. */
 export const INLINE_SOURCE = 'settings'
 
-/** Settings as a file holds them: sections of keys with text. */
-export type Sections = Record<string, Record<string, unknown>>
+/** Settings as a file holds them: text values by section and key. */
+export type RawSections = Record<string, Record<string, unknown>>
 
-/** Checks settings of any program; the errors name section and key. */
+/** Validates settings by a schema and fills in defaults. Errors name section and key. */
 export function resolveSections<S extends z.ZodObject>(
   schema: S,
-  user: Sections,
+  user: RawSections,
   source: string,
 ): Result<z.output<S>, ConfigError> {
-  const absent = Object.keys(schema.shape).map((name) => [name, {}])
-  const checked = schema.safeParse({ ...Object.fromEntries(absent), ...user })
+  const emptySections = Object.keys(schema.shape).map((name) => [name, {}])
+  const checked = schema.safeParse({ ...Object.fromEntries(emptySections), ...user })
   if (checked.success) return ok(checked.data)
-  const lines = checked.error.issues.flatMap((each) => describeIssue(schema, each, user))
+  const lines = checked.error.issues.flatMap((issue) =>
+    describeIssue(schema, issue, user),
+  )
   return err(configError(lines.map((line) => `${source}: ${line}`).join('\n')))
 }
 
@@ -32,25 +34,25 @@
   text: string,
   source: string,
 ): Result<z.output<S>, ConfigError> {
-  const stray = parse(text)
-  for (const [key, value] of Object.entries(stray)) {
+  const parsed = parse(text)
+  for (const [key, value] of Object.entries(parsed)) {
     if (typeof value === 'object' && value !== null) continue
     const sections = Object.keys(schema.shape).join(', ')
     const message = `key '${key}' stands before any section; allowed sections: ${sections}`
     return err(configError(`${source}: ${message}`))
   }
-  return resolveSections(schema, stray as Sections, source)
+  return resolveSections(schema, parsed as RawSections, source)
 }
 
-/** Checks settings given as an object; the errors name section and key. */
+/** Validates settings given as an object. Errors name section and key. */
 export function resolveConfig(
   user: UserConfig,
   source: string = INLINE_SOURCE,
 ): Result<ResolvedConfig, ConfigError> {
-  return resolveSections(configSchema, user as Sections, source)
+  return resolveSections(configSchema, user as RawSections, source)
 }
 
-/** Reads settings from INI text. */
+/** Parses settings from INI text. */
 export function parseConfig(
   text: string,
   source: string = INLINE_SOURCE,
@@ -58,7 +60,7 @@
   return parseSections(configSchema, text, source)
 }
 
-/** Reads a file with settings; the error names the file. */
+/** Reads and parses a settings file. Errors name the file. */
 export async function loadSettings<T>(
   file: string,
   read: (text: string, source: string) => Result<T, ConfigError>,
@@ -73,7 +75,7 @@
 /** Reads settings from an INI file. */
 export const loadConfig = (file: string) => loadSettings(file, parseConfig)
 
-/** Prints resolved settings as INI: durations in ms, sizes in bytes, ready to be read again. */
+/** Prints resolved settings as INI that parses back: durations in ms, sizes in bytes. */
 export function printConfig(cfg: ResolvedConfig): string {
   const peers = Object.entries(cfg.peers).map(([id, peer]) => {
     const host = peer.host.includes(':') ? `[${peer.host}]` : peer.host
@@ -93,7 +95,7 @@
   return stringify(printable, { whitespace: true })
 }
 
-/** Units that {@link printConfig} puts behind resolved numbers. */
+/** Units that {@link printConfig} appends to resolved numbers. */
 const UNIT_OF_KEY: Record<string, Record<string, string>> = {
   platform: { timeout: 'ms', poll: 'ms', max_backoff: 'ms' },
   requests: {
@@ -114,7 +116,7 @@
 function describeIssue(
   schema: z.ZodObject,
   issue: z.core.$ZodIssue,
-  user: Sections,
+  user: RawSections,
 ): string[] {
   const [section, key] = issue.path.map(String)
   if (issue.code === 'unrecognized_keys') {
@@ -122,8 +124,8 @@
   }
   if (section === undefined) return [issue.message]
   if (key === undefined) return [`[${section}]: ${issue.message}`]
-  const given = user[section]?.[key]
-  if (given === undefined) return [`[${section}] ${key}: is required`]
+  const rawValue = user[section]?.[key]
+  if (rawValue === undefined) return [`[${section}] ${key}: is required`]
   return [`[${section}] ${key}: ${issue.message}`]
 }
 
@@ -139,11 +141,11 @@
   return `[${section}] ${key}: unknown key; allowed: ${allowedKeys(section, schema).join(', ')}`
 }
 
-/** Keys of a section, for messages and for the check of the docs. */
+/** Keys of a section, for error messages and the test of the documentation. */
 export function allowedKeys(
   section: string,
   schema: z.ZodObject = configSchema,
 ): string[] {
-  const found = schema.shape[section]
-  return found instanceof z.ZodObject ? Object.keys(found.shape) : []
+  const sectionSchema = schema.shape[section]
+  return sectionSchema instanceof z.ZodObject ? Object.keys(sectionSchema.shape) : []
 }
--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of rillshunt among themselves: one task per peer that exchanges
- * reports, and a push of the epoch to every peer when a new table comes in force.
+ * Exchange between rillshunt processes: a loop per peer that syncs reports, and a push of
+ * the epoch to every peer when a new table comes into force.
  */
 import { create } from '@bufbuild/protobuf'
 import { Code, ConnectError } from '@connectrpc/connect'
@@ -16,31 +16,31 @@
   CALL_TIMEOUT_MS,
   CLOSE_GRACE_MS,
   LOST_AFTER_MS,
-  MAX_LEAVING,
-  MAX_LOADS,
-  MAX_STOPPING,
+  MAX_LEAVING_VMS,
+  MAX_SERVICE_LOADS,
+  MAX_REPORTED_JOBS,
   REMOTE_SYNC_INTERVAL_MS,
-  SILENT_INTERVALS,
+  FALLBACK_SYNC_INTERVALS,
   SYNC_INTERVAL_MS,
 } from './constants.js'
 import { NodeReportSchema, PeerService } from './gen/peer_pb.js'
 import type { Loans, NodeReport } from './gen/peer_pb.js'
 import { decodeLoans, encodeLoans } from './loans.js'
 import { createOncePeers, onceRoutes } from './oncePeers.js'
-import { callPatiently } from './patience.js'
-import { isOverBounds, listenForPeers, makePeer } from './peerLink.js'
+import { callWithTimeout } from './callWithTimeout.js'
+import { exceedsLimits, listenForPeers, createPeer } from './peerLink.js'
 import type { Peer, PeerState } from './peerLink.js'
-import { createSharing } from './sharing.js'
+import { createDataSharing } from './sharing.js'
 import { createMeteredAgent, createTrafficMeter } from './traffic.js'
 
-/** The part of a report that only the entry knows. */
+/** Supplies the fields of a report that only the entry knows. */
 export type ReportSource = () => Pick<
   NodeReport,
   'routes' | 'leaving' | 'loads' | 'stopping' | 'draining'
 >
 
-/** What the entry adds to the messages between peers. */
-export interface EntryExchange {
+/** The entry's handlers for loans and claims in messages between peers. */
+export interface EntryHandlers {
   loans: Pick<Allotments, 'messageFor' | 'receive'>
   once: Once['answer']
 }
@@ -48,19 +48,19 @@
 /** The peers of this process. */
 export interface PeerNetwork {
   peers(): PeerState[]
-  /** Calls of the entry's own to a peer; they reject when nothing is known of the effect. */
+  /** Claim calls of the entry to a peer; they reject if their effect is unknown. */
   oncePeers: OncePeers
-  /** Sets what the entry adds. */
-  setExchange(exchange: EntryExchange): void
-  /** Sets who fills the report. */
-  setReportSource(source: ReportSource): void
-  /** Calls back after each report of a peer. */
+  /** Sets the handlers of the entry. */
+  setEntryHandlers(entryHandlers: EntryHandlers): void
+  /** Sets the source of the entry's report fields. */
+  setReportSource(reportSource: ReportSource): void
+  /** Calls the listener after each report of a peer; returns the unsubscribe function. */
   subscribe(listener: () => void): () => void
-  /** Syncs with the peers of the own hall now. */
+  /** Syncs with all peers of the own hall at once. */
   syncHall(): Promise<void>
   /** The report of this process, for a keeper in the same process. */
   ownReport(): NodeReport
-  /** Port that peers reach this process at. */
+  /** Port on which this process listens for peers. */
   port: number
   stop(): Promise<void>
 }
@@ -68,7 +68,7 @@
 /** Options of {@link createPeerNetwork}. */
 export interface PeerNetworkOptions {
   cfg: ResolvedConfig
-  /** Changes at each start of the process. */
+  /** Identifies one start of the process. */
   incarnation: string
   platform: Platform
   rows: RowWatch
@@ -77,7 +77,7 @@
   metrics: Metrics
 }
 
-const EMPTY_SOURCE: ReportSource = () => ({
+const EMPTY_REPORT_SOURCE: ReportSource = () => ({
   routes: false,
   leaving: [],
   loads: [],
@@ -85,19 +85,19 @@
   draining: [],
 })
 
-/** Opens the peer port and starts one task per peer. */
+/** Opens the peer port and starts a sync loop per peer. */
 export async function createPeerNetwork(opts: PeerNetworkOptions): Promise<PeerNetwork> {
   const { cfg, rows, table, log, metrics } = opts
   const stopping = createStopController()
-  let source = EMPTY_SOURCE
-  let exchange: EntryExchange | undefined
+  let reportSource = EMPTY_REPORT_SOURCE
+  let entryHandlers: EntryHandlers | undefined
   const listeners = new Set<() => void>()
-  const sharing = createSharing({ hall: cfg.node.hall, table, rows })
+  const sharing = createDataSharing({ hall: cfg.node.hall, table, rows })
   const meter = createTrafficMeter(metrics)
   const agent = createMeteredAgent(meter)
 
   const ownReport = (): NodeReport => {
-    const { routes, leaving, loads, stopping: jobs, draining } = source()
+    const { routes, leaving, loads, stopping: jobs, draining } = reportSource()
     return create(NodeReportSchema, {
       node: cfg.node.id,
       hall: cfg.node.hall,
@@ -105,10 +105,10 @@
       epoch: BigInt(sharing.epoch()),
       revision: BigInt(rows.revision()),
       routes,
-      leaving: leaving.slice(0, MAX_LEAVING),
-      loads: loads.slice(0, MAX_LOADS),
-      stopping: jobs.slice(0, MAX_STOPPING),
-      draining: draining.slice(0, MAX_STOPPING),
+      leaving: leaving.slice(0, MAX_LEAVING_VMS),
+      loads: loads.slice(0, MAX_SERVICE_LOADS),
+      stopping: jobs.slice(0, MAX_REPORTED_JOBS),
+      draining: draining.slice(0, MAX_REPORTED_JOBS),
     })
   }
 
@@ -118,45 +118,48 @@
   const peers = new Map<string, Peer>()
   for (const [id, address] of Object.entries(cfg.peers)) {
     if (id === cfg.node.id) continue
-    peers.set(id, makePeer(id, address, intervalOf(address.hall), agent))
+    peers.set(id, createPeer(id, address, intervalOf(address.hall), agent))
   }
 
-  function heard(report: NodeReport | undefined): void {
-    if (!report || isOverBounds(report)) {
-      log.event('peerMessageRefused', { peer: report?.node, reason: 'over the bounds' })
+  function receiveReport(report: NodeReport | undefined): void {
+    if (!report || exceedsLimits(report)) {
+      log.event('peerMessageRefused', {
+        peer: report?.node,
+        reason: 'report exceeds the limits',
+      })
       throw new ConnectError('report is over the bounds', Code.InvalidArgument)
     }
     const peer = peers.get(report.node)
     if (!peer || peer.address.hall !== report.hall) {
       log.event('peerMessageRefused', {
         peer: report.node,
-        reason: 'not in the settings',
+        reason: 'peer is not in the settings',
       })
       throw new ConnectError(`'${report.node}' is no peer of mine`, Code.PermissionDenied)
     }
-    peer.hear(report)
-    if (peer.lost) log.event('peerBack', { peer: peer.id, hall: report.hall })
-    peer.lost = false
+    peer.recordReport(report)
+    if (peer.isLost) log.event('peerBack', { peer: peer.id, hall: report.hall })
+    peer.isLost = false
     for (const listener of listeners) listener()
     const epoch = Number(report.epoch)
-    if (epoch > sharing.epoch()) void learnTable(peer, epoch)
+    if (epoch > sharing.epoch()) void fetchNewerTable(peer, epoch)
   }
 
-  /** Gets a newer table from the platform or, when that is away, from the peer. */
-  async function learnTable(peer: Peer, epoch: number): Promise<void> {
+  /** Fetches a newer table from the platform or, if that fails, from the peer. */
+  async function fetchNewerTable(peer: Peer, epoch: number): Promise<void> {
     await readPlatformTable(opts.platform, table)
     if (epoch <= sharing.epoch()) return
     await call(peer, 'fetchTable', (options) => sharing.fetchTable(peer.client, options))
   }
 
   function loansFor(peer: string): Loans | undefined {
-    const message = exchange?.loans.messageFor(peer)
+    const message = entryHandlers?.loans.messageFor(peer)
     return message && encodeLoans(message)
   }
 
-  function learnLoans(peer: string, loans: Loans | undefined): void {
-    if (!loans || loans.lines.length > MAX_LOADS) return
-    exchange?.loans.receive(peer, decodeLoans(loans))
+  function receiveLoans(peer: string, loans: Loans | undefined): void {
+    if (!loans || loans.lines.length > MAX_SERVICE_LOADS) return
+    entryHandlers?.loans.receive(peer, decodeLoans(loans))
   }
 
   async function call(
@@ -165,18 +168,18 @@
     run: (options: CallOptions) => Promise<void>,
   ): Promise<void> {
     try {
-      await callPatiently(CALL_TIMEOUT_MS, run, stopping.signal)
+      await callWithTimeout(CALL_TIMEOUT_MS, run, stopping.signal)
       metrics.peerMessages.inc({ step, result: 'ok' })
     } catch (cause) {
       metrics.peerMessages.inc({ step, result: 'failed' })
-      noteSilence(peer, describeError(cause))
+      reportIfLost(peer, describeError(cause))
     }
   }
 
-  function noteSilence(peer: Peer, reason: string): void {
-    if (peer.lost || stopping.signal.aborted) return
+  function reportIfLost(peer: Peer, reason: string): void {
+    if (peer.isLost || stopping.signal.aborted) return
     if (peer.silentForMs() < LOST_AFTER_MS) return
-    peer.lost = true
+    peer.isLost = true
     log.event('peerLost', { peer: peer.id, hall: peer.address.hall, reason })
   }
 
@@ -184,19 +187,20 @@
     call(peer, 'sync', async (options) => {
       const message = { report: ownReport(), loans: loansFor(peer.id) }
       const res = await peer.client.sync(message, options)
-      heard(res.report)
-      learnLoans(peer.id, res.loans)
+      receiveReport(res.report)
+      receiveLoans(peer.id, res.loans)
     })
 
-  async function runPeer(peer: Peer): Promise<void> {
+  async function runSyncLoop(peer: Peer): Promise<void> {
     const local = peer.address.hall === cfg.node.hall
     const interval = intervalOf(peer.address.hall)
-    // One side of a pair asks, since the answer carries the other's report; the other one
-    // asks only while it hears nothing.
-    const asks = cfg.node.id < peer.id
+    // Only one side of a pair initiates syncs, because the reply carries the report of
+    // the other side. The passive side syncs only while it receives no reports.
+    const initiates = cfg.node.id < peer.id
     await sync(peer)
     while (!stopping.signal.aborted) {
-      if (asks || peer.silentForMs() > interval * SILENT_INTERVALS) await sync(peer)
+      if (initiates || peer.silentForMs() > interval * FALLBACK_SYNC_INTERVALS)
+        await sync(peer)
       if (local && rows.revision() === 0) {
         await call(peer, 'fetchRows', (options) =>
           sharing.fetchRows(peer.client, options),
@@ -219,19 +223,20 @@
   const routes = (router: ConnectRouter) =>
     router.service(PeerService, {
       sync(req) {
-        heard(req.report)
-        learnLoans(req.report!.node, req.loans)
+        receiveReport(req.report)
+        receiveLoans(req.report!.node, req.loans)
         return { report: ownReport(), loans: loansFor(req.report!.node) }
       },
       pushHead(req) {
         const peer = peers.get(req.node)
         if (!peer) throw new ConnectError('not in the settings', Code.PermissionDenied)
         if (peer.report) peer.report.epoch = req.epoch
-        if (Number(req.epoch) > sharing.epoch()) void learnTable(peer, Number(req.epoch))
+        if (Number(req.epoch) > sharing.epoch())
+          void fetchNewerTable(peer, Number(req.epoch))
         return { epoch: BigInt(sharing.epoch()) }
       },
       ...onceRoutes(
-        () => exchange?.once,
+        () => entryHandlers?.once,
         (id) => peers.has(id),
       ),
       ...sharing.routes,
@@ -239,14 +244,14 @@
 
   const server = await listenForPeers(cfg, routes, meter)
   metrics.beforeScrape.push(meter.collect)
-  const tasks = [...peers.values()].map(runPeer)
+  const syncLoops = [...peers.values()].map(runSyncLoop)
 
   return {
     peers: () => [...peers.values()],
     ownReport,
     oncePeers: createOncePeers(cfg.node.id, (id) => peers.get(id)?.client),
-    setExchange: (next) => (exchange = next),
-    setReportSource: (next) => (source = next),
+    setEntryHandlers: (next) => (entryHandlers = next),
+    setReportSource: (next) => (reportSource = next),
     subscribe(listener) {
       listeners.add(listener)
       return () => listeners.delete(listener)
@@ -263,13 +268,13 @@
       stopping.abort()
       const closed = new Promise((resolve) => server.close(resolve))
       server.closeIdleConnections()
-      // Answers under way still go out; a peer that keeps its connection open is cut off.
+      // Lets replies under way go out, then closes connections that peers keep open.
       await Promise.race([closed, sleep(CLOSE_GRACE_MS)])
       agent.destroy()
       server.closeAllConnections()
       await closed
-      await Promise.all(tasks)
-      for (const peer of peers.values()) peer.leave()
+      await Promise.all(syncLoops)
+      for (const peer of peers.values()) peer.stopWatching()
     },
   }
 }
--- a/src/peer/peerLink.ts
+++ b/src/peer/peerLink.ts
@@ -1,4 +1,4 @@
-/** One peer: its address, its client and what it last said. */
+/** One peer: address, client and last report. */
 import { createServer } from 'node:http'
 import type { Agent, Server } from 'node:http'
 import type { Client, ConnectRouter } from '@connectrpc/connect'
@@ -7,55 +7,55 @@
 import type { PeerAddress, ResolvedConfig } from '../config/index.js'
 import { monotonicMs } from '../shared/index.js'
 import {
-  KEEP_ALIVE_MS,
-  MAX_LEAVING,
-  MAX_LOADS,
+  SERVER_IDLE_TIMEOUT_MS,
+  MAX_LEAVING_VMS,
+  MAX_SERVICE_LOADS,
   MAX_MESSAGE_BYTES,
-  MAX_STOPPING,
-  REACHED_INTERVALS,
+  MAX_REPORTED_JOBS,
+  MAX_REACHABLE_INTERVALS,
 } from './constants.js'
 import { PeerService } from './gen/peer_pb.js'
 import type { NodeReport } from './gen/peer_pb.js'
-import { createReach } from './reach.js'
+import { createReachability } from './reachability.js'
 import type { TrafficMeter } from './traffic.js'
 
-/** What a peer last said, and when. */
+/** Last report of a peer and its age. */
 export interface PeerState {
   id: string
   address: PeerAddress
-  /** Undefined until the peer has spoken. */
+  /** Undefined until the first report arrives. */
   report: NodeReport | undefined
-  /** Ms since the peer last spoke, or since our start when it never did. */
+  /** Ms since the last report, or since the start of this process if there is none. */
   silentForMs(): number
   /**
-   * Whether it has spoken within a few of its intervals; time in which this process could
-   * not read does not count.
+   * Whether a report has arrived within the last few sync intervals; time in which this
+   * process could not read does not count.
    */
   isReached(): boolean
 }
 
-/** A peer with what it takes to call it. */
+/** A peer with its client. */
 export interface Peer extends PeerState {
   client: Client<typeof PeerService>
-  lost: boolean
-  /** Notes what it says. */
-  hear(report: NodeReport): void
-  /** Ends what is done about it; it counts as not reached from then on. */
-  leave(): void
+  isLost: boolean
+  /** Stores a report and restarts the reachability time-out. */
+  recordReport(report: NodeReport): void
+  /** Stops the reachability timer; the peer counts as not reached from then on. */
+  stopWatching(): void
 }
 
-/** Whether a report has more entries than a sender may name. */
-export function isOverBounds(report: NodeReport): boolean {
+/** Whether a list of the report is longer than a sender may make it. */
+export function exceedsLimits(report: NodeReport): boolean {
   const { leaving, loads, stopping, draining } = report
-  if (leaving.length > MAX_LEAVING || loads.length > MAX_LOADS) return true
-  return stopping.length > MAX_STOPPING || draining.length > MAX_STOPPING
+  if (leaving.length > MAX_LEAVING_VMS || loads.length > MAX_SERVICE_LOADS) return true
+  return stopping.length > MAX_REPORTED_JOBS || draining.length > MAX_REPORTED_JOBS
 }
 
 /**
- * Prepares calls to a peer; nothing is connected yet.
- * @param intervalMs time between two syncs with it.
+ * Creates a peer and its client, without connecting.
+ * @param intervalMs interval between syncs with the peer.
  */
-export function makePeer(
+export function createPeer(
   id: string,
   address: PeerAddress,
   intervalMs: number,
@@ -69,34 +69,34 @@
     useBinaryFormat: true,
     nodeOptions: { agent },
   })
-  const reach = createReach(intervalMs * REACHED_INTERVALS)
-  let heardAt = monotonicMs()
+  const reachability = createReachability(intervalMs * MAX_REACHABLE_INTERVALS)
+  let lastReportAt = monotonicMs()
   const peer: Peer = {
     id,
     address,
     report: undefined,
     client: createClient(PeerService, transport),
-    lost: false,
-    silentForMs: () => monotonicMs() - heardAt,
-    isReached: reach.isReached,
-    hear(report) {
+    isLost: false,
+    silentForMs: () => monotonicMs() - lastReportAt,
+    isReached: reachability.isReached,
+    recordReport(report) {
       peer.report = report
-      heardAt = monotonicMs()
-      reach.heard()
+      lastReportAt = monotonicMs()
+      reachability.noteMessage()
     },
-    leave: reach.stop,
+    stopWatching: reachability.stop,
   }
   return peer
 }
 
-/** Opens the port for peers. Rejects when it cannot be opened. */
+/** Opens the port for peers. Rejects if it cannot be opened. */
 export async function listenForPeers(
   cfg: ResolvedConfig,
   routes: (router: ConnectRouter) => void,
   meter: TrafficMeter,
 ): Promise<Server> {
   const adapter = connectNodeAdapter({ routes, readMaxBytes: MAX_MESSAGE_BYTES })
-  const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, adapter)
+  const server = createServer({ keepAliveTimeout: SERVER_IDLE_TIMEOUT_MS }, adapter)
   server.on('connection', meter.track)
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/src/programs/__tests__/programs.spec.ts
+++ b/src/programs/__tests__/programs.spec.ts
@@ -16,7 +16,7 @@
   return file
 }
 
-async function finish(
+async function collectOutput(
   child: ChildProcess,
 ): Promise<{ code: number | null; out: string; err: string }> {
   let out = ''
@@ -27,10 +27,11 @@
   return { code, out, err }
 }
 
-const run = (...args: string[]) => finish(spawn(process.execPath, [ENTRY, ...args]))
+const run = (...args: string[]) =>
+  collectOutput(spawn(process.execPath, [ENTRY, ...args]))
 
 describe('rillshunt-entry', () => {
-  it('checks and prints settings', async (t) => {
+  it('validates and prints settings', async (t) => {
     const file = await configFile(GOOD)
     t.like(await run('--config', file, '--check-config'), { code: 0 })
     const printed = await run('--config', file, '--print-config')
@@ -46,10 +47,10 @@
     t.is((await run('--nope')).code, 2)
   })
 
-  it('starts with the platform away, and stops as planned on SIGTERM', async (t) => {
+  it('starts while the platform is unreachable and stops as planned on SIGTERM', async (t) => {
     const file = await configFile(`${GOOD}[requests]\ndrain_notice = 10ms\n`)
     const child = spawn(process.execPath, [ENTRY, '--config', file])
-    const ended = finish(child)
+    const ended = collectOutput(child)
     await new Promise<void>((resolve) => {
       child.stdout!.on('data', (chunk) => String(chunk).includes('RS-1001') && resolve())
     })
