--- a/src/kernel/__tests__/kernel.spec.ts
+++ b/src/kernel/__tests__/kernel.spec.ts
@@ -4,7 +4,7 @@
 import type { ServiceDefinition } from '../kernel.js'
 
 /** A definition that notes when it starts and stops. */
-function noting(
+function recordingService(
   notes: string[],
   name: string,
   needs: string[],
@@ -30,9 +30,9 @@
     it('starts needs first and stops in reverse', async (t) => {
       const notes: string[] = []
       const definitions = [
-        noting(notes, 'c', ['b']),
-        noting(notes, 'a', []),
-        noting(notes, 'b', ['a']),
+        recordingService(notes, 'c', ['b']),
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a']),
       ]
       const kernel = createKernel(definitions, createMemoryLogger())
       t.true((await kernel.start()).isOk())
@@ -42,9 +42,12 @@
 
     it('names a cycle and a missing service', async (t) => {
       const log = createMemoryLogger()
-      const cycle = createKernel([noting([], 'a', ['b']), noting([], 'b', ['a'])], log)
+      const cycle = createKernel(
+        [recordingService([], 'a', ['b']), recordingService([], 'b', ['a'])],
+        log,
+      )
       t.is((await cycle.start())._unsafeUnwrapErr().message, 'cycle: a -> b -> a')
-      const missing = createKernel([noting([], 'a', ['x'])], log)
+      const missing = createKernel([recordingService([], 'a', ['x'])], log)
       t.regex((await missing.start())._unsafeUnwrapErr().message, /'a' needs 'x'/)
     })
   })
@@ -52,7 +55,10 @@
   describe('failures', () => {
     it('stops what had started when a service fails to start', async (t) => {
       const notes: string[] = []
-      const definitions = [noting(notes, 'a', []), noting(notes, 'b', ['a'], 'start')]
+      const definitions = [
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a'], 'start'),
+      ]
       const started = await createKernel(definitions, createMemoryLogger()).start()
       t.regex(started._unsafeUnwrapErr().message, /b cannot start/)
       t.deepEqual(notes, ['+a', '-a'])
@@ -61,7 +67,10 @@
     it('goes on stopping after a service fails to stop, and logs it', async (t) => {
       const notes: string[] = []
       const log = createMemoryLogger()
-      const definitions = [noting(notes, 'a', []), noting(notes, 'b', ['a'], 'stop')]
+      const definitions = [
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a'], 'stop'),
+      ]
       const kernel = createKernel(definitions, log)
       await kernel.start()
       await Promise.all([kernel.stop(), kernel.stop()])
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -55,19 +55,19 @@
   const started: ServiceDefinition[] = []
   let stopping: Promise<void> | undefined
 
-  const find = (name: string): unknown => {
+  const getRunning = (name: string): unknown => {
     if (!running.has(name)) throw new KernelError(`no service '${name}' is running`)
     return running.get(name)
   }
 
-  async function startOne(definition: ServiceDefinition): Promise<void> {
+  async function startService(definition: ServiceDefinition): Promise<void> {
     const ctx: ServiceContext = {
       log: log.child({ component: definition.name }),
       get: (name) => {
         if (!definition.needs.includes(name)) {
           throw new KernelError(`'${definition.name}' does not declare '${name}'`)
         }
-        return find(name) as never
+        return getRunning(name) as never
       },
     }
     running.set(definition.name, await definition.start(ctx))
@@ -93,7 +93,7 @@
       for (const definition of ordered.value) {
         if (stopping) return err(new KernelError('stopped while it was starting'))
         try {
-          await startOne(definition)
+          await startService(definition)
         } catch (cause) {
           const reason = describeError(cause)
           log.event('serviceFailed', { failed: definition.name, reason })
@@ -113,7 +113,7 @@
       })()
       return stopping
     },
-    get: (name) => find(name) as never,
+    get: (name) => getRunning(name) as never,
   }
 }
 
--- a/src/platform/__tests__/platform.spec.ts
+++ b/src/platform/__tests__/platform.spec.ts
@@ -98,7 +98,7 @@
 })
 
 describe('createHttpPlatform', () => {
-  async function hostile(
+  async function startFaultyPlatform(
     t: ExecutionContext,
     listener: RequestListener,
   ): Promise<Platform> {
@@ -116,7 +116,7 @@
 
   it('turns answers of any wrong shape into errors with the step and the peer', async (t) => {
     let answer = ''
-    const platform = await hostile(t, (_req, res) => res.end(answer))
+    const platform = await startFaultyPlatform(t, (_req, res) => res.end(answer))
     const calls: [string, () => Promise<{ isErr(): boolean }>][] = [
       ['read', () => platform.read(['a'])],
       ['changes', () => platform.changes(['a'], 0)],
@@ -139,9 +139,9 @@
   })
 
   it('ends a call whose answer never comes or breaks off', async (t) => {
-    const silent = await hostile(t, () => {})
+    const silent = await startFaultyPlatform(t, () => {})
     t.is((await silent.read(['a']))._unsafeUnwrapErr().failure, 'unknown')
-    const breaking = await hostile(t, (_req, res) => {
+    const breaking = await startFaultyPlatform(t, (_req, res) => {
       res.writeHead(200, { 'content-length': 100 })
       res.write('{', () => res.destroy())
     })
--- a/src/platform/commit.ts
+++ b/src/platform/commit.ts
@@ -50,13 +50,13 @@
   tx: Transaction,
   refused: TransactionOutcome,
 ): PlatformResult<TransactionOutcome> {
-  const kept = tx.writes.find((write) => write.value !== null)
-  if (!kept) return ok(refused)
-  const rows = await platform.read([kept.key])
+  const firstPut = tx.writes.find((write) => write.value !== null)
+  if (!firstPut) return ok(refused)
+  const rows = await platform.read([firstPut.key])
   if (rows.isErr()) {
     return platformFailure('readBack', 'unknown', `transaction ${tx.opId} is not settled`)
   }
-  const row = rows.value.get(kept.key)
+  const row = rows.value.get(firstPut.key)
   if (row?.op !== tx.opId) return ok(refused)
   return ok({ committed: true, revision: row.revision })
 }
--- a/src/platform/httpPlatform.ts
+++ b/src/platform/httpPlatform.ts
@@ -34,7 +34,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ])
 
-const emptyAnswer = z.unknown()
+const anySchema = z.unknown()
 const committedSchema = z.object({ revision: z.number() })
 const conflictSchema = z.object({ failedKey: z.string() })
 const rowsSchema = z.object({ rows: z.array(rowSchema) })
@@ -89,7 +89,7 @@
     }
   }
 
-  async function ask<T>(call: Call, schema: z.ZodType<T>): PlatformResult<T> {
+  async function request<T>(call: Call, schema: z.ZodType<T>): PlatformResult<T> {
     const answer = await send(call)
     return answer.andThen(({ status, body }): Result<T, PlatformError> => {
       if (status >= 400) {
@@ -104,7 +104,7 @@
   }
 
   /** A conditional read: undefined when nothing has changed. */
-  async function askIfChanged<T>(
+  async function requestIfChanged<T>(
     step: string,
     path: string,
     schema: z.ZodType<T>,
@@ -118,20 +118,20 @@
   }
 
   const post = (step: string, path: string, body: unknown): PlatformResult<void> =>
-    ask({ step, method: 'POST', path, body }, emptyAnswer).then((res) =>
+    request({ step, method: 'POST', path, body }, anySchema).then((res) =>
       res.map(() => undefined),
     )
 
   return {
     async read(keys) {
       const path = `/v1/rows?${query('key', keys)}`
-      const answer = await ask({ step: 'read', method: 'GET', path }, rowsSchema)
+      const answer = await request({ step: 'read', method: 'GET', path }, rowsSchema)
       return answer.map(({ rows }) => new Map(rows.map((row) => [row.key, row])))
     },
     async changes(prefixes, since) {
       const path = `/v1/changes?${query('prefix', prefixes)}&since=${since}`
       const call: Call = { step: 'changes', method: 'GET', path }
-      return ask(call, changesSchema)
+      return request(call, changesSchema)
     },
     async transact(tx) {
       const call: Call = {
@@ -166,24 +166,27 @@
     },
     putObject: async (name, body) => {
       const path = `/v1/objects/${encodeURIComponent(name)}`
-      const answer = await ask(
+      const answer = await request(
         { step: 'putObject', method: 'PUT', path, body },
-        emptyAnswer,
+        anySchema,
       )
       return answer.map(() => undefined)
     },
     async listObjects(prefix) {
       const path = `/v1/objects?${new URLSearchParams({ prefix })}`
-      const answer = await ask({ step: 'listObjects', method: 'GET', path }, namesSchema)
+      const answer = await request(
+        { step: 'listObjects', method: 'GET', path },
+        namesSchema,
+      )
       return answer.map(({ names }) => names)
     },
     listVms(hall, since) {
       const halls = query('hall', hall === undefined ? [] : [hall])
-      return askIfChanged('listVms', `/v1/vms?${halls}&since=${since}`, vmListSchema)
+      return requestIfChanged('listVms', `/v1/vms?${halls}&since=${since}`, vmListSchema)
     },
     listTasks(hall, since) {
       const path = `/v1/tasks?${query('hall', [hall])}&since=${since}`
-      return askIfChanged('listTasks', path, taskListSchema)
+      return requestIfChanged('listTasks', path, taskListSchema)
     },
     startTask: (spec) => post('startTask', '/v1/tasks', spec),
     stopTask: (id) => post('stopTask', '/v1/tasks/stop', { id }),
--- a/src/platform/rowWatch.ts
+++ b/src/platform/rowWatch.ts
@@ -51,12 +51,12 @@
   const stopping = createStopController()
   let revision = 0
   let answeredAt = -Infinity
-  let down = false
+  let isDown = false
   let failures = 0
   let loop: Promise<void> | undefined
-  let polling: Promise<void> | undefined
+  let pollInProgress: Promise<void> | undefined
 
-  function apply(changes: Changes): void {
+  function applyChanges(changes: Changes): void {
     const changed = new Set<string>(changes.deleted)
     if (changes.full) {
       const present = new Set(changes.rows.map((row) => row.key))
@@ -79,21 +79,21 @@
     if (changes.isErr()) {
       failures++
       opts.metrics.platformUp.set(0)
-      if (!down) opts.log.event('platformDown', { reason: changes.error.message })
-      down = true
+      if (!isDown) opts.log.event('platformDown', { reason: changes.error.message })
+      isDown = true
       return
     }
-    if (down) opts.log.event('platformBack', { silentMs: monotonicMs() - answeredAt })
-    down = false
+    if (isDown) opts.log.event('platformBack', { silentMs: monotonicMs() - answeredAt })
+    isDown = false
     failures = 0
     answeredAt = monotonicMs()
     opts.metrics.platformUp.set(1)
-    apply(changes.value)
+    applyChanges(changes.value)
   }
 
   const refresh = (): Promise<void> => {
-    polling ??= poll().finally(() => (polling = undefined))
-    return polling
+    pollInProgress ??= poll().finally(() => (pollInProgress = undefined))
+    return pollInProgress
   }
 
   function pauseMs(): number {
@@ -103,7 +103,7 @@
     return jittered(opts.pollMs)
   }
 
-  async function run(): Promise<void> {
+  async function runPollLoop(): Promise<void> {
     while (!stopping.signal.aborted) {
       await refresh()
       await sleep(pauseMs(), stopping.signal)
@@ -117,7 +117,7 @@
     refresh,
     seed(changes) {
       if (answeredAt !== -Infinity || changes.revision <= revision) return false
-      apply({ ...changes, full: true })
+      applyChanges({ ...changes, full: true })
       return true
     },
     subscribe(listener) {
@@ -125,7 +125,7 @@
       return () => listeners.delete(listener)
     },
     start() {
-      loop ??= run()
+      loop ??= runPollLoop()
     },
     async stop() {
       stopping.abort()
--- a/src/shared/__tests__/silence.spec.ts
+++ b/src/shared/__tests__/silence.spec.ts
@@ -2,7 +2,7 @@
 import { monotonicMs, sleep, watchSilence } from '../index.js'
 
 /** Keeps the process from reading anything for so long. */
-function block(ms: number): void {
+function blockEventLoop(ms: number): void {
   const endsAt = monotonicMs() + ms
   while (monotonicMs() < endsAt);
 }
@@ -44,7 +44,7 @@
     it('reads what has arrived before it calls the other one silent', async (t) => {
       const { watch, silentAfter } = startWatch(100)
       setImmediate(() => watch.heard())
-      block(250)
+      blockEventLoop(250)
       await sleep(50)
       t.is(silentAfter(), undefined)
       watch.stop()
@@ -53,7 +53,7 @@
     it('waits as much longer as it was late, and not for ever', async (t) => {
       const { silentAfter } = startWatch(60)
       for (let each = 0; each < 8 && silentAfter() === undefined; each++) {
-        block(100)
+        blockEventLoop(100)
         await sleep(0)
       }
       t.true((silentAfter() ?? 0) > 150)
--- a/src/shared/eventLimit.ts
+++ b/src/shared/eventLimit.ts
@@ -27,8 +27,8 @@
       const at = now()
       const bucket = buckets.get(name) ?? { tokens: BURST, filledAt: at, leftOut: 0 }
       buckets.set(name, bucket)
-      const grown = ((at - bucket.filledAt) / 1000) * LINES_PER_SECOND
-      bucket.tokens = Math.min(BURST, bucket.tokens + grown)
+      const refill = ((at - bucket.filledAt) / 1000) * LINES_PER_SECOND
+      bucket.tokens = Math.min(BURST, bucket.tokens + refill)
       bucket.filledAt = at
       if (bucket.tokens < 1) {
         bucket.leftOut++
--- a/src/shared/fdSink.ts
+++ b/src/shared/fdSink.ts
@@ -6,22 +6,22 @@
 import { Writable } from 'node:stream'
 
 /** Text that may wait for the reader, in characters. */
-const MAX_WAITING = 1024 * 1024
+const MAX_BUFFERED_CHARS = 1024 * 1024
 /** Pause before a full pipe is tried again, in ms. */
-const RETRY_MS = 20
+const FULL_PIPE_RETRY_MS = 20
 
 /** Creates a stream that accepts text at once and writes it as the reader takes it. */
 export function createFdSink(fd: number): Writable {
-  let waiting = ''
-  let dropped = 0
+  let buffered = ''
+  let droppedBatches = 0
   let writing = false
-  let idle: (() => void) | undefined
+  let onDrained: (() => void) | undefined
 
-  const next = (): void => {
+  const flush = (): void => {
     if (writing) return
-    if (waiting === '') return idle?.()
-    const chunk = Buffer.from(waiting, 'utf8')
-    waiting = ''
+    if (buffered === '') return onDrained?.()
+    const chunk = Buffer.from(buffered, 'utf8')
+    buffered = ''
     writing = true
     send(chunk)
   }
@@ -29,11 +29,12 @@
   /** A pipe may take only a part; a full one asks to come again. */
   const send = (chunk: Buffer): void => {
     write(fd, chunk, (err, written) => {
-      if (err?.code === 'EAGAIN') return void setTimeout(() => send(chunk), RETRY_MS)
+      if (err?.code === 'EAGAIN')
+        return void setTimeout(() => send(chunk), FULL_PIPE_RETRY_MS)
       if (!err && written < chunk.length) return send(chunk.subarray(written))
       // A closed reader cannot be told of anything: the text is given up.
       writing = false
-      next()
+      flush()
     })
   }
 
@@ -41,18 +42,19 @@
     decodeStrings: false,
     write(chunk: string | Buffer, _encoding, done) {
       const text = String(chunk)
-      if (waiting.length + text.length > MAX_WAITING) dropped++
+      if (buffered.length + text.length > MAX_BUFFERED_CHARS) droppedBatches++
       else {
-        if (dropped > 0) waiting += `${JSON.stringify({ logBatchesDropped: dropped })}\n`
-        dropped = 0
-        waiting += text
+        if (droppedBatches > 0)
+          buffered += `${JSON.stringify({ logBatchesDropped: droppedBatches })}\n`
+        droppedBatches = 0
+        buffered += text
       }
-      next()
+      flush()
       done()
     },
     final(done) {
-      idle = done
-      next()
+      onDrained = done
+      flush()
     },
   })
 }
--- a/src/shared/lateness.ts
+++ b/src/shared/lateness.ts
@@ -6,11 +6,11 @@
 import { monotonicMs } from './utils.js'
 
 /** Time between two looks, in ms: four wake-ups a second cost nothing that can be measured. */
-const LOOK_MS = 250
+const CHECK_INTERVAL_MS = 250
 /** Delay that is told, in ms: others give a call up after 400 ms, of which it takes half. */
-const TOLD_MS = 200
+const REPORT_THRESHOLD_MS = 200
 /** Longest delays are told so often at most, in ms. */
-const TELL_PACE_MS = 1000
+const MIN_REPORT_INTERVAL_MS = 1000
 
 /** Looks at the delay of this process until it is stopped. */
 export interface Lateness {
@@ -19,20 +19,21 @@
 
 /** Starts looking; long delays are logged. */
 export function watchLateness(log: Logger): Lateness {
-  let dueAt = monotonicMs() + LOOK_MS
-  let worstMs = 0
-  let toldAt = -Infinity
+  let dueAt = monotonicMs() + CHECK_INTERVAL_MS
+  let maxDelayMs = 0
+  let reportedAt = -Infinity
 
-  const look = (): void => {
+  const check = (): void => {
     const now = monotonicMs()
-    worstMs = Math.max(worstMs, now - dueAt)
-    dueAt = now + LOOK_MS
-    if (worstMs < TOLD_MS || now - toldAt < TELL_PACE_MS) return
-    log.event('processLate', { lateMs: Math.round(worstMs) })
-    toldAt = now
-    worstMs = 0
+    maxDelayMs = Math.max(maxDelayMs, now - dueAt)
+    dueAt = now + CHECK_INTERVAL_MS
+    if (maxDelayMs < REPORT_THRESHOLD_MS || now - reportedAt < MIN_REPORT_INTERVAL_MS)
+      return
+    log.event('processLate', { lateMs: Math.round(maxDelayMs) })
+    reportedAt = now
+    maxDelayMs = 0
   }
 
-  const timer = setInterval(look, LOOK_MS)
+  const timer = setInterval(check, CHECK_INTERVAL_MS)
   return { stop: () => clearInterval(timer) }
 }
--- a/src/shared/logger.ts
+++ b/src/shared/logger.ts
@@ -86,7 +86,7 @@
     return LEVEL_ORDER[EVENTS[name].level] <= LEVEL_ORDER[level]
   }
   const limit = opts.bounded ? createEventLimit() : undefined
-  const make = (extra: EventFields): Logger => ({
+  const withFields = (extra: EventFields): Logger => ({
     enabled,
     event(name, fields) {
       if (!enabled(name)) return
@@ -105,7 +105,7 @@
         ...fields,
       })
     },
-    child: (fields) => make({ ...extra, ...fields }),
+    child: (fields) => withFields({ ...extra, ...fields }),
     close: () =>
       new Promise((resolve) => {
         lines.once('finish', () => resolve())
@@ -113,7 +113,7 @@
         sink.end()
       }),
   })
-  return make(opts.base ?? {})
+  return withFields(opts.base ?? {})
 }
 
 /** One event as kept by {@link createMemoryLogger}. */
@@ -127,14 +127,14 @@
   limit = 10_000,
 ): Logger & { readonly events: LoggedEvent[] } {
   const events: LoggedEvent[] = []
-  const make = (extra: EventFields): Logger => ({
+  const withFields = (extra: EventFields): Logger => ({
     enabled: () => true,
     event(name, fields) {
       events.push({ name, fields: { ...extra, ...fields } })
       if (events.length > limit) events.splice(0, events.length - limit)
     },
-    child: (fields) => make({ ...extra, ...fields }),
+    child: (fields) => withFields({ ...extra, ...fields }),
     close: async () => {},
   })
-  return { ...make({}), events }
+  return { ...withFields({}), events }
 }
--- a/src/shared/roundTrip.ts
+++ b/src/shared/roundTrip.ts
@@ -8,9 +8,9 @@
 const MEAN_WEIGHT = 1 / 8
 const VARIATION_WEIGHT = 1 / 4
 /** Variations beyond the mean after which an answer counts as missing. */
-const VARIATIONS = 4
+const VARIATION_MULTIPLIER = 4
 /** Growth of the time with each answer that was missing since the last one. */
-const BACKOFF = 2
+const BACKOFF_FACTOR = 2
 
 /** The answer times of one peer. */
 export interface RoundTrip {
@@ -39,10 +39,13 @@
       variationMs += (Math.abs(tookMs - meanMs) - variationMs) * VARIATION_WEIGHT
       meanMs += (tookMs - meanMs) * MEAN_WEIGHT
     },
-    missed: () => void (backoff *= BACKOFF),
+    missed: () => void (backoff *= BACKOFF_FACTOR),
     timeoutMs() {
       if (meanMs === undefined) return opts.mostMs
-      const expectedMs = Math.max(opts.leastMs, meanMs + variationMs * VARIATIONS)
+      const expectedMs = Math.max(
+        opts.leastMs,
+        meanMs + variationMs * VARIATION_MULTIPLIER,
+      )
       return Math.min(opts.mostMs, expectedMs * backoff)
     },
   }
--- a/src/shared/shapes.ts
+++ b/src/shared/shapes.ts
@@ -5,12 +5,12 @@
 import { z } from 'zod'
 
 /** Longest name or address in a row, in characters: the store's own keys have 200 bytes. */
-const MAX_NAME = 200
+const MAX_NAME_CHARS = 200
 /** Largest amount of a resource: a million cores in thousandths, or a million GB in MB. */
 const MAX_AMOUNT = 1e9
 const MAX_PORT = 65_535
 /** Longest entry of a target that is looked at, in characters; a usual one has about 250. */
-const MAX_ENTRY = 8192
+const MAX_ENTRY_CHARS = 8192
 
 const HOST_AND_PORT = /^(?:\[[\da-f:.]+\]|[\w.-]+):(\d{1,5})$/i
 
@@ -21,7 +21,7 @@
 }
 
 /** A name that is not empty. */
-export const nameSchema = z.string().min(1).max(MAX_NAME)
+export const nameSchema = z.string().min(1).max(MAX_NAME_CHARS)
 
 /** An id that can stand in a header and in a key: no space, slash or other separator. */
 export const idSchema = nameSchema.regex(/^[\w.!#$%&'*+^`|~-]+$/, 'not an id')
@@ -29,7 +29,7 @@
 /** `HOST:PORT`. */
 export const addressSchema = z
   .string()
-  .max(MAX_NAME)
+  .max(MAX_NAME_CHARS)
   .refine(isAddress, 'not HOST:PORT with a port from 1 to 65535')
 
 /** An amount of a resource. */
@@ -38,5 +38,5 @@
 /** What is wrong with an entry of a target before its text is read; undefined when nothing is. */
 export function describeEntryProblem(id: string, text: string): string | undefined {
   if (!idSchema.safeParse(id).success) return 'its key is not an id'
-  return text.length > MAX_ENTRY ? 'too long' : undefined
+  return text.length > MAX_ENTRY_CHARS ? 'too long' : undefined
 }
--- a/src/shared/silence.ts
+++ b/src/shared/silence.ts
@@ -7,9 +7,9 @@
 import { monotonicMs } from './utils.js'
 
 /** A timer that is this late shows that the process was not reading meanwhile, in ms. */
-const LATE_MS = 20
+const LATE_TIMER_MS = 20
 /** Longest wait, in times of the one that was asked for: every call ends. */
-const MAX_STRETCH = 3
+const MAX_WAIT_FACTOR = 3
 
 /** Waits for a sign of life, until it is stopped. */
 export interface SilenceWatch {
@@ -25,7 +25,7 @@
  */
 export function watchSilence(ms: number, onSilent: () => void): SilenceWatch {
   let dueAt = monotonicMs() + ms
-  let lastAt = monotonicMs() + ms * MAX_STRETCH
+  let latestDueAt = monotonicMs() + ms * MAX_WAIT_FACTOR
   let timer: NodeJS.Timeout | undefined
   let stopped = false
 
@@ -37,12 +37,13 @@
     const lateMs = monotonicMs() - dueAt
     if (lateMs < 0) return arm()
     // What has arrived is read between two rounds of timers.
-    if (lateMs < LATE_MS || dueAt >= lastAt) return void setImmediate(conclude)
-    dueAt = Math.min(lastAt, monotonicMs() + Math.min(lateMs, ms))
+    if (lateMs < LATE_TIMER_MS || dueAt >= latestDueAt)
+      return void setImmediate(reportSilence)
+    dueAt = Math.min(latestDueAt, monotonicMs() + Math.min(lateMs, ms))
     arm()
   }
 
-  function conclude(): void {
+  function reportSilence(): void {
     if (stopped) return
     if (dueAt > monotonicMs()) return arm()
     stopped = true
@@ -53,7 +54,7 @@
   return {
     heard() {
       dueAt = monotonicMs() + ms
-      lastAt = dueAt + ms * (MAX_STRETCH - 1)
+      latestDueAt = dueAt + ms * (MAX_WAIT_FACTOR - 1)
     },
     stop() {
       stopped = true
--- a/src/shared/unreadRows.ts
+++ b/src/shared/unreadRows.ts
@@ -6,11 +6,11 @@
 import { cutText } from './utils.js'
 
 /** Longest reason in a line, in characters: a schema names each of a thousand wrong parts. */
-const MAX_REASON = 300
+const MAX_REASON_CHARS = 300
 /** Longest key in a line, in characters. */
-const MAX_KEY = 200
+const MAX_KEY_CHARS = 200
 /** Rows that are remembered at most; the oldest is forgotten, and told again. */
-const MAX_ROWS = 2000
+const MAX_REMEMBERED_ROWS = 2000
 
 /** The rows of one table that cannot be read. */
 export interface UnreadRows {
@@ -24,24 +24,24 @@
 export function createUnreadRows(log: Logger, table: string): UnreadRows {
   const reasons = new Map<string, string>()
 
-  function makeRoom(): void {
-    if (reasons.size < MAX_ROWS) return
+  function evictOldest(): void {
+    if (reasons.size < MAX_REMEMBERED_ROWS) return
     const [oldest] = reasons.keys()
     if (oldest !== undefined) reasons.delete(oldest)
   }
 
-  const lineOf = (key: string) => ({ table, key: cutText(key, MAX_KEY) })
+  const eventFields = (key: string) => ({ table, key: cutText(key, MAX_KEY_CHARS) })
 
   return {
     note(key, text) {
-      const reason = cutText(text, MAX_REASON)
+      const reason = cutText(text, MAX_REASON_CHARS)
       if (reasons.get(key) === reason) return
-      makeRoom()
+      evictOldest()
       reasons.set(key, reason)
-      log.event('rowInvalid', { ...lineOf(key), reason })
+      log.event('rowInvalid', { ...eventFields(key), reason })
     },
     clear(key) {
-      if (reasons.delete(key)) log.event('rowMended', lineOf(key))
+      if (reasons.delete(key)) log.event('rowMended', eventFields(key))
     },
   }
 }
--- a/src/shared/utils.ts
+++ b/src/shared/utils.ts
@@ -61,11 +61,11 @@
 }
 
 /** Part of an interval by which {@link jittered} spreads it. */
-const JITTER = 0.2
+const JITTER_SHARE = 0.2
 
 /** The interval, a tenth shorter or longer at random, so that processes do not march in step. */
 export function jittered(ms: number): number {
-  return ms * (1 - JITTER / 2 + Math.random() * JITTER)
+  return ms * (1 - JITTER_SHARE / 2 + Math.random() * JITTER_SHARE)
 }
 
 /** Parsed JSON, or undefined: the schema check that follows reports it as misshapen. */
--- a/src/sharing/pacer.ts
+++ b/src/sharing/pacer.ts
@@ -4,16 +4,16 @@
  */
 
 /** Tails above this part of the bound slow the fillers; below the lower one they speed up. */
-const SLOW_ABOVE = 0.8
-const SPEED_BELOW = 0.55
+const SLOW_DOWN_ABOVE = 0.8
+const SPEED_UP_BELOW = 0.55
 /** Factor of one step down: under a tenth after four of them, within the platform's 4 s. */
-const STEP_DOWN = 0.5
+const STEP_DOWN_FACTOR = 0.5
 /** Points of one step up. */
-const STEP_UP = 8
+const STEP_UP_PERCENT = 8
 /** Below this percent a filler is stopped altogether: it would still disturb. */
-const LOWEST_PERCENT = 4
+const MIN_PERCENT = 4
 /** Time between two steps on one target, in ms: a report covers half a second. */
-const STEP_MS = 500
+const STEP_INTERVAL_MS = 500
 
 /** What runs on a target, as last reported. */
 export interface SharedRun {
@@ -40,40 +40,41 @@
 
 /** Creates the pacer of one target. */
 export function createPacer(): Pacer {
-  const given = new Map<string, number>()
+  const orderedPercents = new Map<string, number>()
   let percent = 100
   let steppedAt = -Infinity
 
   /** Worst tail of the serving tasks, as a part of its bound. */
-  const pressureOf = (runs: readonly SharedRun[]): number =>
+  const worstTailRatio = (runs: readonly SharedRun[]): number =>
     Math.max(0, ...runs.map(({ tailMs, load }) => (tailMs > 0 ? load / tailMs : 0)))
 
-  function adjust(pressure: number): void {
-    if (pressure > SLOW_ABOVE) {
-      const next = percent * STEP_DOWN
-      percent = next < LOWEST_PERCENT ? 0 : next
-    } else if (pressure < SPEED_BELOW) percent = Math.min(100, percent + STEP_UP)
+  function adjustPace(tailRatio: number): void {
+    if (tailRatio > SLOW_DOWN_ABOVE) {
+      const next = percent * STEP_DOWN_FACTOR
+      percent = next < MIN_PERCENT ? 0 : next
+    } else if (tailRatio < SPEED_UP_BELOW)
+      percent = Math.min(100, percent + STEP_UP_PERCENT)
   }
 
   return {
     step(runs, now) {
       const fillers = runs.filter(({ fills }) => fills)
-      for (const name of given.keys()) {
-        if (!fillers.some((run) => run.name === name)) given.delete(name)
+      for (const name of orderedPercents.keys()) {
+        if (!fillers.some((run) => run.name === name)) orderedPercents.delete(name)
       }
       if (fillers.length === 0) {
         percent = 100
         return []
       }
-      if (now - steppedAt >= STEP_MS) {
+      if (now - steppedAt >= STEP_INTERVAL_MS) {
         steppedAt = now
-        adjust(pressureOf(runs))
+        adjustPace(worstTailRatio(runs))
       }
       const rounded = Math.round(percent)
       const orders = fillers
-        .filter(({ name }) => (given.get(name) ?? 100) !== rounded)
+        .filter(({ name }) => (orderedPercents.get(name) ?? 100) !== rounded)
         .map(({ name }) => ({ name, percent: rounded }))
-      for (const order of orders) given.set(order.name, order.percent)
+      for (const order of orders) orderedPercents.set(order.name, order.percent)
       return orders
     },
   }
