--- a/src/platform/commit.ts
+++ b/src/platform/commit.ts
@@ -1,7 +1,7 @@
 /**
- * Settles a transaction whose reply was lost. Every write names the version that
- * it replaces, so sending the same transaction again cannot apply it twice; when the
- * second attempt is refused, the operation id on the row tells whose write stands.
+ * Resolves the outcome of a transaction whose reply was lost. Each write names the version
+ * that it replaces, so that sending the same transaction again cannot apply it twice. When a
+ * later attempt is refused, the operation id on the row tells whose write was applied.
  */
 import { ok } from 'neverthrow'
 import { nanoid } from 'nanoid'
@@ -14,19 +14,19 @@
   TransactionOutcome,
 } from './types.js'
 
-/** Attempts before the outcome is given back as unknown. */
+/** Attempts before an error is returned. */
 const COMMIT_ATTEMPTS = 4
 const RETRY_BASE_MS = 50
 const RETRY_CAP_MS = 1000
 
-/** A fresh operation id. */
+/** Creates a unique operation id. */
 export function newOpId(kind: string): string {
   return `${kind}-${nanoid(12)}`
 }
 
 /**
- * Applies a transaction and finds out what became of it.
- * @returns an error of failure `unknown` only when the platform stayed away.
+ * Applies a transaction and determines its outcome.
+ * @returns an error with the failure `unknown` only when the platform did not answer again.
  */
 export async function commit(
   platform: Platform,
--- a/src/platform/fail.ts
+++ b/src/platform/fail.ts
@@ -1,10 +1,10 @@
-/** Builds the errors of this directory. */
+/** Creates the errors of this directory. */
 import { err } from 'neverthrow'
 import type { Err } from 'neverthrow'
 import { PlatformError } from '../shared/index.js'
 import type { PlatformFailure } from '../shared/index.js'
 
-/** A failed call as a result. */
+/** Returns the error result of a failed call. */
 export function platformFailure(
   step: string,
   failure: PlatformFailure,
--- a/src/platform/httpPlatform.ts
+++ b/src/platform/httpPlatform.ts
@@ -1,4 +1,4 @@
-/** Adapter to the platform over HTTP and JSON, through undici. */
+/** Platform adapter over HTTP and JSON, built on undici. */
 import { Pool } from 'undici'
 import type { Dispatcher } from 'undici'
 import { err, ok } from 'neverthrow'
@@ -14,9 +14,9 @@
 export interface HttpPlatformOptions {
   /** Origin of the platform. */
   url: string
-  /** Longest time for one call, in ms. */
+  /** Time-out of one call, in ms. */
   timeoutMs: number
-  /** Name of this process, for the platform's own records. */
+  /** Name of this process, sent with each call for the platform's records. */
   node: string
   /** Called with the bytes sent and received by each call. */
   onTraffic?: (step: string, sentBytes: number, receivedBytes: number) => void
@@ -26,7 +26,7 @@
 const HTTP_NOT_MODIFIED = 304
 const HTTP_NOT_FOUND = 404
 const HTTP_CONFLICT = 409
-/** Errors of undici and the socket that arise before anything is sent. */
+/** Codes of undici and socket errors that mean that nothing was sent. */
 const UNSENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -103,7 +103,7 @@
     })
   }
 
-  /** A conditional read: undefined when nothing has changed. */
+  /** Reads conditionally; undefined when nothing has changed. */
   async function requestIfChanged<T>(
     step: string,
     path: string,
--- a/src/platform/rowWatch.ts
+++ b/src/platform/rowWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of some rows by conditional reads: one read per poll, of changes only.
- * In an outage the copy stays as it is and polls back off with full jitter.
+ * Keeps a copy of some rows up to date by polling; each poll reads only the changes.
+ * During an outage the copy stays unchanged and polls back off with full jitter.
  */
 import {
   createStopController,
@@ -20,25 +20,28 @@
   prefixes: string[]
   /** Time between polls, in ms. */
   pollMs: number
-  /** Longest pause in an outage, in ms. */
+  /** Longest backoff between polls in an outage, in ms. */
   maxBackoffMs: number
   log: Logger
   metrics: Metrics
 }
 
-/** A copy of rows that follows the platform. */
+/** A local copy of rows that is kept up to date with the platform. */
 export interface RowWatch {
-  /** Rows by key. Do not change it. */
+  /** Rows by key; callers must not change the map. */
   readonly rows: ReadonlyMap<string, Row>
   /** Platform revision up to which the copy is complete; 0 before the first read. */
   revision(): number
-  /** Ms since the platform last answered; Infinity when it never did. */
+  /** Time since the platform last answered, in ms; Infinity before the first answer. */
   silentForMs(): number
-  /** Polls now; resolves when the poll has ended, well or not. */
+  /** Polls now; resolves when the poll has succeeded or failed. */
   refresh(): Promise<void>
-  /** Fills an empty copy from a peer's. Has no effect once the platform has answered. */
+  /**
+   * Fills the copy from a peer's copy. Returns false, and has no effect, once the platform has
+   * answered or when the peer's copy is not newer.
+   */
   seed(changes: Changes): boolean
-  /** Calls back after every change with the changed keys. */
+  /** Calls the listener with the changed keys after each change; the result unsubscribes. */
   subscribe(listener: (keys: string[]) => void): () => void
   start(): void
   stop(): Promise<void>
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -1,6 +1,6 @@
 /**
- * What rillshunt asks of the platform. Only this directory knows the wire format;
- * another adapter that gives the same interface changes nothing else.
+ * Interface that rillshunt requires of the platform. Only this directory knows the wire
+ * format; an adapter with the same interface can replace it without other changes.
  */
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
@@ -9,7 +9,7 @@
 /** One row of the transactional table. */
 export const rowSchema = z.object({
   key: z.string(),
-  /** Counts the changes of this row; 1 is the first. Version 0 stands for "absent". */
+  /** Number of changes of this row so far. Version 0 stands for an absent row. */
   version: z.number().int().min(1),
   /** Platform revision of the last change. */
   revision: z.number().int().min(0),
@@ -35,15 +35,15 @@
   equals: string | number
 }
 
-/** All writes take effect at once, or none does. */
+/** Atomic: either all writes take effect or none does. */
 export interface Transaction {
-  /** Unique; stands on every row that the transaction wrote. */
+  /** Unique; stored on every row that the transaction writes. */
   opId: string
   writes: RowWrite[]
   guards: RowGuard[]
 }
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type TransactionOutcome =
   | { committed: true; revision: number }
   /** A condition did not hold; nothing was written. */
@@ -54,12 +54,12 @@
   revision: z.number().int().min(0),
   rows: z.array(rowSchema),
   deleted: z.array(z.string()),
-  /** True when `rows` is everything rather than a difference. */
+  /** True when `rows` holds all rows rather than only the changed ones. */
   full: z.boolean(),
 })
 export type Changes = z.infer<typeof changesSchema>
 
-/** One VM as the platform's list shows it; the list lags. */
+/** One VM in the platform's list; the list lags behind the actual state. */
 export const listedVmSchema = z.object({
   id: z.string(),
   hall: z.string(),
@@ -67,7 +67,7 @@
   /** Changes at each restart and replacement. */
   incarnation: z.string(),
   state: z.enum(['live', 'leaving']),
-  /** What the VM is for: work of pools, or an entry VM of rillshunt. */
+  /** `worker`: runs work of pools; `entry`: an entry VM of rillshunt. */
   role: z.enum(['worker', 'entry']),
   cpus: z.number().min(0),
   memoryGb: z.number().min(0),
@@ -101,40 +101,40 @@
 })
 export type TaskList = z.infer<typeof taskListSchema>
 
-/** What to run on a VM. */
+/** A task to start on a VM. */
 export interface TaskSpec {
-  /** Unique per attempt. A second start with the same id changes nothing. */
+  /** Unique per attempt. A second start with the same id has no effect. */
   id: string
   vm: string
   service: string
   cpus: number
   memoryGb: number
-  /** The task is stopped when its lease is not renewed for so long; 0 means never. */
+  /** The task is stopped when its lease is not renewed for this time, in ms; 0 means never. */
   leaseMs: number
 }
 
-/** A call's result. */
+/** Result of a platform call. */
 export type PlatformResult<T> = Promise<Result<T, PlatformError>>
 
 /** The platform. Every call ends within the configured time-out. */
 export interface Platform {
-  /** Reads single rows; absent ones are left out. */
+  /** Reads rows by key; absent ones are left out. */
   read(keys: string[]): PlatformResult<Map<string, Row>>
-  /** Rows under the prefixes that changed after `since`; everything when it is 0. */
+  /** Reads the rows under the prefixes that changed after `since`; all when it is 0. */
   changes(prefixes: string[], since: number): PlatformResult<Changes>
-  /** One attempt at a transaction; `commit` in this directory settles lost replies. */
+  /** Attempts a transaction once; `commit` in this directory resolves lost replies. */
   transact(tx: Transaction): PlatformResult<TransactionOutcome>
   getObject(name: string): PlatformResult<unknown>
   putObject(name: string, value: unknown): PlatformResult<void>
-  /** Names of objects under a prefix, in order. */
+  /** Lists the names of objects under a prefix, in order. */
   listObjects(prefix: string): PlatformResult<string[]>
-  /** The lagging list; undefined when it is unchanged since that revision. */
+  /** Reads the lagging list of VMs; undefined when it is unchanged since that revision. */
   listVms(hall: string | undefined, since: number): PlatformResult<VmList | undefined>
-  /** The tasks of a hall; undefined when they are unchanged since that revision. */
+  /** Reads the tasks of a hall; undefined when they are unchanged since that revision. */
   listTasks(hall: string, since: number): PlatformResult<TaskList | undefined>
   startTask(spec: TaskSpec): PlatformResult<void>
   stopTask(id: string): PlatformResult<void>
-  /** Tells the VM's tasks to finish; idempotent under the operation id. */
+  /** Tells the VM's tasks to finish; idempotent for an operation id. */
   drainVm(vm: string, opId: string): PlatformResult<void>
   /** Restarts the VM once per operation id. */
   rebootVm(vm: string, opId: string): PlatformResult<void>
--- a/src/ports/advice.ts
+++ b/src/ports/advice.ts
@@ -1,4 +1,4 @@
-/** The service that says on which targets a step may run. */
+/** Interface of the advice service, which decides on which targets a step may run. */
 import type { Result } from 'neverthrow'
 import type { PlatformError } from '../shared/index.js'
 
--- a/src/ports/configuration.ts
+++ b/src/ports/configuration.ts
@@ -1,26 +1,26 @@
-/** The configuration that the operators accept, as the product sees it. */
+/** The configuration that operators accept, in internal types. */
 
-/** A queue that callers hand jobs to. */
+/** A queue to which callers submit jobs. */
 export interface Queue {
   name: string
   host: string
   pathPrefix: string
   service: string
-  /** 0 comes first. */
+  /** 0 is the highest priority. */
   priority: number
-  /** Failed runs of a task after which its job fails. */
+  /** Number of failed runs of a task after which its job fails. */
   maxAttempts: number
-  /** Objective of a job: `stretch` times its longest chain plus `latencyMs`. */
+  /** Latency objective of a job: `stretch` times its longest chain plus `latencyMs`. */
   stretch: number
   latencyMs: number
-  /** Time limits of the advice service; undefined where the queue has no policy. */
+  /** Time limits of the advice service; undefined when the queue has no advice policy. */
   advice: { decideMs: number; eachMs: number; validMs: number } | undefined
 }
 
 /** A pool of VMs that run the tasks of its queues. */
 export interface ServicePool {
   name: string
-  /** Whether its targets reject what does not fit. */
+  /** Whether its targets reject tasks that exceed their capacity. */
   guardsCapacity: boolean
   /** Whether it holds idle VMs that are switched off. */
   spare: boolean
@@ -32,11 +32,11 @@
   queues: Queue[]
   services: Map<string, ServicePool>
   limits: { headerBytes: number; bodyBytes: number; headerMs: number; idleMs: number }
-  /** What of it could not be read and is left out, one message each. */
+  /** One message for each invalid part, which is left out. */
   unread: string[]
 }
 
-/** A wave of maintenance: each VM once, at most `maxDown` at a time. */
+/** A maintenance wave: maintains each VM once, at most `maxDown` at a time. */
 export interface Wave {
   id: number
   vms: string[]
--- a/src/ports/documents.ts
+++ b/src/ports/documents.ts
@@ -1,4 +1,4 @@
-/** Documents of others in the store: where they lie and how they are read. */
+/** Documents shared with operators and targets through the store: tables, keys and codecs. */
 import type { Result } from 'neverthrow'
 import type { PlatformError } from '../shared/index.js'
 import type { Configuration, Wave } from './configuration.js'
@@ -6,12 +6,12 @@
 import type { Target } from './targetOrders.js'
 
 export interface Documents {
-  /** The list of targets: one row per life, by its id. */
+  /** Target list: one row per incarnation, under its id. */
   targets: {
     table: string
     decode(id: string, text: string): Result<Target, PlatformError>
   }
-  /** What the operators write. */
+  /** Documents that operators write. */
   operator: {
     table: string
     configurationKey: string
@@ -19,7 +19,7 @@
     isWave(key: string): boolean
     decodeWave(text: string): Result<Wave, PlatformError>
   }
-  /** What the operators read about a wave. */
+  /** Status of a wave, which operators read. */
   waveStatus: {
     row(id: number): RowKey
     encode(state: 'running' | 'completed'): string
--- a/src/ports/index.ts
+++ b/src/ports/index.ts
@@ -1,4 +1,4 @@
-/** Interfaces to what lies outside: store, targets, VMs, advice, configuration. */
+/** Interfaces to external systems: store, targets, VMs, advice, configuration. */
 export * from './rowStore.js'
 export * from './targetOrders.js'
 export * from './vmCloud.js'
--- a/src/ports/rowStore.ts
+++ b/src/ports/rowStore.ts
@@ -1,21 +1,21 @@
-/** The transactional row store, as the product sees it. An adapter implements it. */
+/** Interface of the transactional row store, implemented by an adapter. */
 import type { Result } from 'neverthrow'
 import type { PlatformError } from '../shared/index.js'
 
-/** Names one row. Rows of one part can change together in a transaction. */
+/** Identifies one row. A transaction can change several rows of one part. */
 export interface RowKey {
   table: string
   part: string
   key: string
 }
 
-/** One row as read. `version` is that of the transaction that last wrote it. */
+/** A stored row. `version` is that of the transaction that last wrote it. */
 export interface StoredRow extends RowKey {
   value: string
   version: number
 }
 
-/** One entry of a change list; `value` is undefined when the row was removed. */
+/** A change of a row; `value` is undefined when the row was removed. */
 export interface RowChange extends RowKey {
   value: string | undefined
   version: number
@@ -26,14 +26,14 @@
   version: number
 }
 
-/** All of it takes effect, or nothing does. Every entry names the same part. */
+/** Atomic: either all entries take effect or none does. All name the same part. */
 export interface RowTransaction {
   conditions: RowCondition[]
   puts: (RowKey & { value: string })[]
   removals: RowKey[]
 }
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type RowCommit =
   | { committed: true; version: number }
   /** A condition did not hold; `current` are the rows that the conditions name. */
@@ -49,36 +49,36 @@
 /** Changes of a table after a version. */
 export interface RowChanges {
   changes: RowChange[]
-  /** Continue from here. */
+  /** Version to continue from. */
   version: number
 }
 
-/** Range of keys within a part; `until` is not included. */
+/** Range of keys within a part; `until` is exclusive. */
 export interface RowRange {
   from?: string
   until?: string
 }
 
-/** The range of the keys from `first` to `last`, both included; of one key without `last`. */
+/** Returns the range from `first` to `last`, both inclusive; without `last`, of one key. */
 export function keyRange(first: string, last = first): Required<RowRange> {
-  // No key lies between one and the same with the lowest character behind it.
+  // No key sorts between a key and the same key followed by the lowest character.
   return { from: first, until: `${last}\u0000` }
 }
 
-/** Answer of the store; what an error means for the effect stands in its `failure`. */
+/** Result of a store call; an error's `failure` tells whether it may have taken effect. */
 export type StoreResult<T> = Promise<Result<T, PlatformError>>
 
-/** The store. A call ends when nothing was heard of it for the adapter's time limit. */
+/** The store. A call fails when no bytes arrive for the adapter's time-out. */
 export interface RowStore {
   commit(tx: RowTransaction): StoreResult<RowCommit>
   read(table: string, part: string, range?: RowRange): StoreResult<RowSnapshot>
   parts(table: string): StoreResult<string[]>
-  /** Waits up to `waitMs` for a change. Fails as `compacted` when history is gone. */
+  /** Waits up to `waitMs` for a change. Fails as `compacted` when the history is gone. */
   changes(table: string, after: number, waitMs: number): StoreResult<RowChanges>
 }
 
-/** A store that tells of each sign of life. */
+/** A store that reports when bytes arrive from it. */
 export interface ObservedRowStore extends RowStore {
-  /** Calls the listener when bytes of an answer come, also before it is whole. */
+  /** Calls the listener when bytes of an answer arrive, also before it is complete. */
   onBytes(listener: () => void): void
 }
--- a/src/ports/targetOrders.ts
+++ b/src/ports/targetOrders.ts
@@ -1,12 +1,12 @@
-/** Orders to targets: VMs that run tasks under leases. */
+/** Interface for orders to targets, the VMs that run tasks under leases. */
 import type { Result } from 'neverthrow'
 import type { PlatformError } from '../shared/index.js'
 
-/** One life of a VM as the list of targets shows it. */
+/** One incarnation of a VM in the target list. */
 export interface Target {
-  /** The next life of the VM may reuse it; unique only together with `lifeStartMs`. */
+  /** The next incarnation of the VM may reuse it; unique only together with `lifeStartMs`. */
   id: string
-  /** Start of the life, in ms since 1970; 0 if unknown. */
+  /** Start of the incarnation, in ms since 1970; 0 if unknown. */
   lifeStartMs: number
   service: string
   address: string
@@ -16,7 +16,7 @@
   labels: string[]
 }
 
-/** What a task needs or a target has. */
+/** Resources that a task needs or a target has. */
 export interface Resources {
   /** Thousandths of a core. */
   cpu: number
@@ -32,16 +32,16 @@
   checkpoint: string
   /** 100 when the task is fully at work. */
   percent: number
-  /** Tail latency in ms for a task that serves users, else processor use in thousandths. */
+  /** Tail latency in ms of a task that serves users, else its processor use in thousandths. */
   load: number
 }
 
 /** How a run ended. */
 export type RunEndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
-/** An end that the target lists until it is acknowledged. */
+/** The end of a run, which the target lists until it is acknowledged. */
 export interface ReportedEnd {
-  /** Rises from 1 within a life of the target. */
+  /** Sequence number, which rises from 1 within an incarnation of the target. */
   seq: number
   task: string
   run: number
@@ -51,15 +51,15 @@
 
 /** Answer to {@link TargetOrders.sync}. */
 export interface TargetReport {
-  /** Start of the life that answers, in ms since 1970; 0 if unknown. */
+  /** Start of the incarnation that answers, in ms since 1970; 0 if unknown. */
   lifeStartMs: number
-  /** The target's own steady clock, in ms. */
+  /** Monotonic time of the target, in ms. */
   clockMs: number
   runs: ReportedRun[]
   ends: ReportedEnd[]
 }
 
-/** Why a target refused a start; `other` for a reason that this version does not know. */
+/** Reason of a refused start; `other` stands for one that this version does not know. */
 export type StartRefusal =
   'fenced' | 'superseded' | 'expired' | 'full' | 'ticket' | 'other'
 
@@ -82,7 +82,7 @@
   token: number
 }
 
-/** An order how much of its usual speed a run may have, in percent. */
+/** An order that limits a run to a share of its usual speed, in percent. */
 export interface PaceOrder extends StopOrder {
   percent: number
 }
@@ -92,8 +92,9 @@
   | { accepted: false; clockMs: number; reason: StartRefusal }
 
 /**
- * What is known after an order. `gone`: another life answers at the address. `fenced`: the
- * target has seen a higher token and did nothing.
+ * What is known after a failed order. `notDone`: it had no effect. `unanswered`: it may have
+ * taken effect. `gone`: another incarnation answers at the address. `fenced`: the target has
+ * seen a higher token and did nothing.
  */
 export type OrderFailure = 'notDone' | 'unanswered' | 'gone' | 'fenced'
 
@@ -108,20 +109,20 @@
 /** Renews the leases of everything on the target and reads its state. */
 export interface SyncOrder {
   token: number
-  /** Ends up to this number are forgotten by the target. */
+  /** The target forgets the ends up to this sequence number. */
   ackedSeq: number
   leaseUntilMs: number | undefined
-  /** Time that the target may wait for an end before it answers. */
+  /** Longest time that the target waits for an end of a run before it answers, in ms. */
   waitMs: number
 }
 
 /**
- * A connection pair to one target. Each call is given up `timeoutMs` after the target could have
- * answered.
+ * A pair of connections to one target. A call is abandoned `timeoutMs` after the target could
+ * have answered.
  */
 export interface TargetLink {
   start(order: StartOrder, timeoutMs: number): OrderResult<StartAnswer>
-  /** True when the target took the order; false when it refused the token. */
+  /** Returns true when the target took the order, false when it refused the token. */
   stop(order: StopOrder, timeoutMs: number): OrderResult<boolean>
   pace(order: PaceOrder, timeoutMs: number): OrderResult<boolean>
   sync(order: SyncOrder, timeoutMs: number): OrderResult<TargetReport>
--- a/src/ports/vmCloud.ts
+++ b/src/ports/vmCloud.ts
@@ -1,11 +1,11 @@
-/** Control of VMs: the list, moves between pools, maintenance. */
+/** Interface for the control of VMs: list, moves between pools, maintenance. */
 import type { Result } from 'neverthrow'
 import type { PlatformError } from '../shared/index.js'
 import type { Resources } from './targetOrders.js'
 
 export type VmState = 'up' | 'moving' | 'maintenance' | 'down'
 
-/** A VM as the cloud lists it. */
+/** A VM in the list of the cloud. */
 export interface Vm {
   name: string
   pool: string
@@ -13,18 +13,18 @@
   hall: string
   labels: string[]
   capacity: Resources
-  /** Id of the life that runs on it; empty when none does. */
+  /** Id of the incarnation that runs on it; empty when none does. */
   targetId: string
 }
 
 /**
- * Longest time for which an order is under way, in ms: then its connection is reset, and
- * it cannot arrive any more. A cloud that is slowed 50 times answers within 0.3 s. A new
- * owner of the fleet waits so long after its predecessor's lease.
+ * Longest time that an order is in flight, in ms; then its connection is reset, so that it
+ * cannot arrive later. A cloud slowed 50 times answers within 0.3 s. A new owner of the fleet
+ * waits this long after the lease of the previous owner.
  */
 export const ORDER_IN_FLIGHT_MS = 700
 
-/** Who gives an order for VMs. */
+/** Authority under which VMs are ordered: lease holder and fencing token. */
 export interface VmAuthority {
   holder: string
   token: number
