--- a/src/platform/__tests__/platform.spec.ts
+++ b/src/platform/__tests__/platform.spec.ts
@@ -25,7 +25,7 @@
     t.is(standIn.row('b'), undefined)
   })
 
-  it('knows its own write after a lost reply, and does not write twice', async (t) => {
+  it('recognises its own write after a lost reply, and does not write twice', async (t) => {
     const { platform, standIn } = await startStandIn(t)
     standIn.faults.loseReplies = 1
     t.true((await put(platform, 'a', 0, { n: 1 }))._unsafeUnwrap().committed)
@@ -33,7 +33,7 @@
     t.is(row?.version, 1)
   })
 
-  it('refuses a write under an older fence', async (t) => {
+  it('refuses a write under an older fencing token', async (t) => {
     const { platform } = await startStandIn(t)
     await put(platform, 'lease', 0, { fence: 2 })
     const guards = [{ key: 'lease', field: 'fence', equals: 1 }]
@@ -42,7 +42,7 @@
     t.deepEqual(outcome._unsafeUnwrap(), { committed: false, failedKey: 'lease' })
   })
 
-  it('says that nothing was sent when nobody listens', async (t) => {
+  it('reports that nothing was sent when no server listens', async (t) => {
     const platform = createHttpPlatform({
       url: 'http://127.0.0.1:1',
       timeoutMs: 500,
@@ -64,7 +64,7 @@
       metrics: createMetrics(),
     })
 
-  it('follows changes and deletions by differences', async (t) => {
+  it('applies changes and deletions incrementally', async (t) => {
     const { platform } = await startStandIn(t)
     const rows = watch(platform)
     const seen: string[][] = []
@@ -80,7 +80,7 @@
     t.deepEqual(seen, [['a/1'], ['a/1', 'a/2']])
   })
 
-  it('keeps its copy in an outage, and takes a seed only before the first answer', async (t) => {
+  it('keeps its copy in an outage, and accepts a seed only before the first answer', async (t) => {
     const { platform, standIn } = await startStandIn(t)
     await put(platform, 'a/1', 0, 1)
     const rows = watch(platform)
@@ -114,7 +114,7 @@
     return platform
   }
 
-  it('turns answers of any wrong shape into errors with the step and the peer', async (t) => {
+  it('turns malformed answers into errors with the step and the peer', async (t) => {
     let answer = ''
     const platform = await startFaultyPlatform(t, (_req, res) => res.end(answer))
     const calls: [string, () => Promise<{ isErr(): boolean }>][] = [
@@ -138,7 +138,7 @@
     )
   })
 
-  it('ends a call whose answer never comes or breaks off', async (t) => {
+  it('ends a call whose answer never arrives or is cut off', async (t) => {
     const silent = await startFaultyPlatform(t, () => {})
     t.is((await silent.read(['a']))._unsafeUnwrapErr().failure, 'unknown')
     const breaking = await startFaultyPlatform(t, (_req, res) => {
