--- a/src/kernel/index.ts
+++ b/src/kernel/index.ts
@@ -1,2 +1,2 @@
-/** Services by name, start order, planned stop. */
+/** Kernel: named services, their start order and planned stop. */
 export * from './kernel.js'
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,6 +1,6 @@
 /**
- * The micro-kernel: services with names, started in the order of their needs and
- * stopped in reverse. A service finds another one only through `get`.
+ * Micro-kernel: named services that are started in the order of their dependencies and
+ * stopped in reverse. A service accesses another one only through `get`.
  */
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -16,9 +16,9 @@
 /** Name of a service. */
 export type ServiceName = keyof ServiceMap & string
 
-/** What a service may use while it starts and runs. */
+/** Context that a service may use while it starts and runs. */
 export interface ServiceContext {
-  /** Finds a started service by name. Throws when it was not declared in `needs`. */
+  /** Returns a started service by name. Throws when it is not declared in `needs`. */
   get<N extends ServiceName>(name: N): ServiceMap[N]
   log: Logger
 }
@@ -29,11 +29,11 @@
   /** Services that must run before this one starts, and until it has stopped. */
   needs: readonly ServiceName[]
   start(ctx: ServiceContext): Promise<ServiceMap[N]>
-  /** Ends the service; work in flight is finished first. */
+  /** Stops the service after its work in flight has finished. */
   stop?(service: ServiceMap[N]): Promise<void>
 }
 
-/** Gives a definition its exact type. */
+/** Checks a definition against the type of its service. */
 export function defineService<N extends ServiceName>(
   definition: ServiceDefinition<N>,
 ): ServiceDefinition {
@@ -42,9 +42,9 @@
 
 /** A set of services that start and stop together. */
 export interface Kernel {
-  /** Starts every service. On failure those already started are stopped again. */
+  /** Starts every service. On failure, stops those already started. */
   start(): Promise<Result<void, KernelError>>
-  /** Planned stop, in reverse order. Later calls wait for the first. */
+  /** Stops the services as planned, in reverse order. Later calls wait for the first. */
   stop(): Promise<void>
   get<N extends ServiceName>(name: N): ServiceMap[N]
 }
@@ -117,7 +117,7 @@
   }
 }
 
-/** Orders definitions so that needs come first; names missing services and cycles. */
+/** Sorts definitions so that dependencies come first; fails on missing services and cycles. */
 function sortByNeeds(
   definitions: ServiceDefinition[],
 ): Result<ServiceDefinition[], KernelError> {
--- a/src/shared/errors.ts
+++ b/src/shared/errors.ts
@@ -1,15 +1,15 @@
 /**
- * Error classes. Each error carries the step that failed and, where there is
- * one, the peer at which it arose. Functions return them inside `Result`s;
- * nothing in `src/` throws them across module borders.
+ * Error classes. Each error carries the step that failed and, if any, the peer at which it
+ * arose. Functions return errors inside a `Result`; nothing in `src/` throws them across
+ * module boundaries.
  */
 import ModernError from 'modern-errors'
 
 /** Where an error arose. */
 export interface ErrorPlace {
-  /** What was being done, as `area.step`. */
+  /** Operation that failed, as `area.step`. */
   step: string
-  /** Address, VM id or node id of the other side, where there is one. */
+  /** Address, VM id or node id of the other side, if any. */
   peer?: string
 }
 
@@ -18,18 +18,18 @@
 /** Base class of all errors of rillshunt. */
 export const RillshuntError = ModernError.subclass('RillshuntError', { props: place })
 
-/** Settings that cannot be used; the message names file, section and key. */
+/** Invalid settings; the message names file, section and key. */
 export const ConfigError = RillshuntError.subclass('ConfigError')
 
-/** How a platform call failed, and so what is known about its effect. */
+/** How a platform call failed, which tells what is known about its effect. */
 export type PlatformFailure =
-  /** The platform refused it; it took no effect. */
+  /** The platform refused it; it had no effect. */
   | 'refused'
-  /** It was not sent; it took no effect. */
+  /** It was not sent; it had no effect. */
   | 'unreachable'
   /** It was sent, and no usable reply came back; it may have taken effect. */
   | 'unknown'
-  /** The history that a reader wanted to continue from is gone; read afresh. */
+  /** The history from which the reader continues was compacted; it must read from scratch. */
   | 'compacted'
 
 /** A platform call that failed. */
@@ -40,7 +40,7 @@
 /** A call to another process of rillshunt that failed. */
 export const PeerError = RillshuntError.subclass('PeerError')
 
-/** Rejected contents of the operators' table. */
+/** Rejected content of the operators' table. */
 export const TableError = RillshuntError.subclass('TableError')
 
 /** A kernel that cannot start or stop its services. */
@@ -53,7 +53,7 @@
 export type TableError = InstanceType<typeof TableError>
 export type KernelError = InstanceType<typeof KernelError>
 
-/** Turns anything thrown into one line of text. */
+/** Describes any thrown value in one line of text. */
 export function describeError(err: unknown): string {
   if (!(err instanceof Error)) return String(err)
   const place = err as Partial<ErrorPlace>
--- a/src/shared/eventLimit.ts
+++ b/src/shared/eventLimit.ts
@@ -1,25 +1,25 @@
-/** Bounds the number of log lines of each kind; what is left out is counted and told. */
+/** Limits the rate of log lines of each kind; left-out lines are counted and reported. */
 import { monotonicMs } from './utils.js'
 
-/** Lines of one kind a second, on average: ten times a busy owner's start orders. */
+/** Lines of one kind per second, on average: ten times the start orders of a busy owner. */
 const LINES_PER_SECOND = 300
-/** Lines of one kind at once. */
+/** Size of a token bucket: lines of one kind that may be written at once. */
 const BURST = 600
 
-/** Bound on lines by kind. */
+/** Rate limit of log lines by kind. */
 export interface EventLimit {
-  /** Whether a line of the kind may be written; `leftOut` are those before it that were not. */
+  /** Whether a line may be written; `leftOut` counts those that were left out before it. */
   take(name: string): { allowed: boolean; leftOut: number }
 }
 
-/** Lines of one kind that may be written now. */
+/** Token bucket of one kind of line. */
 interface Bucket {
   tokens: number
   filledAt: number
   leftOut: number
 }
 
-/** Creates a bound with all kinds at their full burst. */
+/** Creates a limit with full token buckets. */
 export function createEventLimit(now: () => number = monotonicMs): EventLimit {
   const buckets = new Map<string, Bucket>()
   return {
--- a/src/shared/exit.ts
+++ b/src/shared/exit.ts
@@ -1,9 +1,9 @@
 /** Exit codes of all programs; `docs/cli.md` lists them. */
 export const EXIT = {
   ok: 0,
-  /** It could not be done, and nothing was changed. */
+  /** The command failed, and nothing was changed. */
   failed: 1,
-  /** Wrong options or settings. */
+  /** Invalid options or settings. */
   usage: 2,
   /** The table was refused; nothing was changed. */
   refused: 3,
--- a/src/shared/fdSink.ts
+++ b/src/shared/fdSink.ts
@@ -1,16 +1,16 @@
 /**
- * Writes text to a file descriptor without ever blocking: a pipe whose reader stands
- * still would otherwise stop the whole process. What does not fit is dropped and counted.
+ * Writes text to a file descriptor without blocking: otherwise a pipe whose reader has stopped
+ * reading would block the whole process. Text that exceeds the buffer is dropped and counted.
  */
 import { write } from 'node:fs'
 import { Writable } from 'node:stream'
 
-/** Text that may wait for the reader, in characters. */
+/** Largest buffer of text that the reader has not taken yet, in characters. */
 const MAX_BUFFERED_CHARS = 1024 * 1024
-/** Pause before a full pipe is tried again, in ms. */
+/** Pause before a write to a full pipe is retried, in ms. */
 const FULL_PIPE_RETRY_MS = 20
 
-/** Creates a stream that accepts text at once and writes it as the reader takes it. */
+/** Creates a stream that accepts text immediately and writes it as the reader takes it. */
 export function createFdSink(fd: number): Writable {
   let buffered = ''
   let droppedBatches = 0
@@ -26,13 +26,13 @@
     send(chunk)
   }
 
-  /** A pipe may take only a part; a full one asks to come again. */
+  /** A pipe may take only a part of the chunk; a full one fails with EAGAIN. */
   const send = (chunk: Buffer): void => {
     write(fd, chunk, (err, written) => {
       if (err?.code === 'EAGAIN')
         return void setTimeout(() => send(chunk), FULL_PIPE_RETRY_MS)
       if (!err && written < chunk.length) return send(chunk.subarray(written))
-      // A closed reader cannot be told of anything: the text is given up.
+      // A closed pipe has no reader to report the error to: the text is dropped.
       writing = false
       flush()
     })
--- a/src/shared/index.ts
+++ b/src/shared/index.ts
@@ -1,4 +1,4 @@
-/** Errors, events, logs and metrics that every area uses. */
+/** Errors, events, logs, metrics and helpers that every area uses. */
 export * from './errors.js'
 export * from './events.js'
 export * from './exit.js'
--- a/src/shared/lateness.ts
+++ b/src/shared/lateness.ts
@@ -1,23 +1,23 @@
 /**
- * How late this process runs. A processor that is full delays everything by about the same:
- * timers, what others send, and the answers that they wait for.
+ * Logs how late the event loop of this process runs. A saturated processor delays everything
+ * by about the same time: timers, received messages and the answers that others wait for.
  */
 import type { Logger } from './logger.js'
 import { monotonicMs } from './utils.js'
 
-/** Time between two looks, in ms: four wake-ups a second cost nothing that can be measured. */
+/** Time between two checks, in ms; four wake-ups a second have no measurable cost. */
 const CHECK_INTERVAL_MS = 250
-/** Delay that is told, in ms: others give a call up after 400 ms, of which it takes half. */
+/** Shortest delay that is logged, in ms; others abandon a call after 400 ms, twice as long. */
 const REPORT_THRESHOLD_MS = 200
-/** Longest delays are told so often at most, in ms. */
+/** Shortest time between two log lines about delays, in ms. */
 const MIN_REPORT_INTERVAL_MS = 1000
 
-/** Looks at the delay of this process until it is stopped. */
+/** Watches the delay of this process until it is stopped. */
 export interface Lateness {
   stop(): void
 }
 
-/** Starts looking; long delays are logged. */
+/** Starts the watch, which logs long delays. */
 export function watchLateness(log: Logger): Lateness {
   let dueAt = monotonicMs() + CHECK_INTERVAL_MS
   let maxDelayMs = 0
--- a/src/shared/lineBuffer.ts
+++ b/src/shared/lineBuffer.ts
@@ -1,12 +1,12 @@
-/** Gathers log lines for a moment, so that a busy process makes fewer system calls. */
+/** Buffers log lines briefly, so that a busy process makes fewer system calls. */
 import { Writable } from 'node:stream'
 
-/** Longest time that a line is held, in ms. A kill loses at most this much. */
+/** Longest time that a line is buffered, in ms. A kill loses at most these lines. */
 const MAX_BUFFER_MS = 20
-/** Lines are passed on at once when so many characters are held. */
+/** Number of buffered characters at which lines are passed on immediately. */
 const MAX_BUFFERED_CHARS = 16 * 1024
 
-/** A stream that passes lines on to `sink` in batches, and all of them when it ends. */
+/** Creates a stream that passes lines to `sink` in batches, and flushes when it ends. */
 export function createLineBuffer(sink: NodeJS.WritableStream): Writable {
   let buffered = ''
   let timer: NodeJS.Timeout | undefined
--- a/src/shared/logger.ts
+++ b/src/shared/logger.ts
@@ -1,6 +1,6 @@
 /**
- * Structured log: one JSON line per event, with the number from the catalogue.
- * Routing events have a switch of their own, because there is one per request.
+ * Structured log: one JSON line per event, with its number from the catalogue.
+ * Routing events can be disabled separately, because each request writes one.
  */
 import winston from 'winston'
 import type { EventLevel, EventName } from './events.js'
@@ -8,18 +8,18 @@
 import { createEventLimit } from './eventLimit.js'
 import { createLineBuffer } from './lineBuffer.js'
 
-/** Values that an event may carry. */
+/** Fields of an event. */
 export type EventFields = Record<string, unknown>
 
 /** Writes events. */
 export interface Logger {
-  /** Writes one event with its inputs. */
+  /** Writes one event with its fields. */
   event(name: EventName, fields?: EventFields): void
-  /** Whether the event would be written; lets hot paths skip building the fields. */
+  /** Whether the event would be written; hot paths skip building its fields otherwise. */
   enabled(name: EventName): boolean
   /** A logger that adds the fields to every event. */
   child(fields: EventFields): Logger
-  /** Resolves once all lines are handed to the output. */
+  /** Resolves once all lines have been passed to the output. */
   close(): Promise<void>
 }
 
@@ -36,14 +36,14 @@
    */
   routing?: boolean
   /**
-   * Whether lines of one kind are bounded; see `eventLimit.ts`.
+   * Whether the rate of lines of one kind is limited; see `eventLimit.ts`.
    * @default false
    */
   bounded?: boolean
-  /** Fields of every line, such as the node and its hall. */
+  /** Fields added to every line, such as the node and its hall. */
   base?: EventFields
   /**
-   * Where the lines go.
+   * Destination of the lines.
    * @default process.stdout
    */
   stream?: NodeJS.WritableStream
@@ -59,11 +59,11 @@
 
 const UNLIMITED = { allowed: true, leftOut: 0 }
 
-/** winston's names of the properties that its transports read. */
+/** Symbols under which winston's transports read the level and the line. */
 const LEVEL = Symbol.for('level')
 const MESSAGE = Symbol.for('message')
 
-/** One JSON object per line; its keys keep the order in which they were given. */
+/** Formats an event as one JSON object per line; its keys keep their order. */
 const jsonLine = winston.format((info) => {
   const timestamp = new Date().toISOString()
   info[MESSAGE] = JSON.stringify({ timestamp, ...info })
@@ -93,7 +93,7 @@
       const { allowed, leftOut } = limit?.take(name) ?? UNLIMITED
       if (!allowed) return
       const { id, level, text } = EVENTS[name]
-      // Straight into winston's stream: `log` would copy the fields once more.
+      // Written directly to winston's stream, because `log` would copy the fields again.
       sink.write({
         level,
         [LEVEL]: level,
@@ -122,7 +122,7 @@
   fields: EventFields
 }
 
-/** A logger that keeps the last events in memory, for explanations and tests. */
+/** Creates a logger that keeps the latest events in memory, for explanations and tests. */
 export function createMemoryLogger(
   limit = 10_000,
 ): Logger & { readonly events: LoggedEvent[] } {
--- a/src/shared/metrics.ts
+++ b/src/shared/metrics.ts
@@ -1,14 +1,14 @@
-/** Metrics of one process, by prom-client. Names and meanings stand in `docs/operators.md`. */
+/** Metrics of one process, by prom-client. `docs/operators.md` lists names and meanings. */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 
 const LATENCY_BUCKETS_S = [
   0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30,
 ]
 
-/** Step of the event loop's lag monitor, in ms; the default of 10 wakes an idle process. */
+/** Resolution of the event loop's lag monitor, in ms; the default of 10 wakes an idle process. */
 const LOOP_PRECISION_MS = 100
 
-/** A function that makes a value once per key. */
+/** Returns a function that creates the value of each key once. */
 export function memoize<T>(make: (key: string) => T): (key: string) => T {
   const made = new Map<string, T>()
   return (key) => {
@@ -24,7 +24,7 @@
 /** All metrics of one process. */
 export type Metrics = ReturnType<typeof createMetrics>
 
-/** Creates a registry of its own, so that several kernels can live in one process. */
+/** Creates metrics with a separate registry, so that one process can run several kernels. */
 export function createMetrics() {
   const registry = new Registry()
   const registers = [registry]
@@ -35,14 +35,14 @@
 
   const metrics = {
     registry,
-    /** Called before the metrics are read, to bring counters up to date. */
+    /** Called before the metrics are rendered, to update counters. */
     beforeScrape: [] as (() => void)[],
-    /** All metrics in the exposition format of Prometheus. */
+    /** Renders all metrics in the exposition format of Prometheus. */
     async render(this: void): Promise<string> {
       for (const update of metrics.beforeScrape) update()
       return registry.metrics()
     },
-    /** Adds the metrics of the Node runtime. */
+    /** Adds the metrics of the Node.js runtime. */
     collectRuntime: () =>
       collectDefaultMetrics({
         register: registry,
--- a/src/shared/roundTrip.ts
+++ b/src/shared/roundTrip.ts
@@ -1,28 +1,28 @@
 /**
- * How soon a peer should have answered, by how soon it did lately: the retransmission timer
- * of RFC 6298 (V. Paxson et al., 2011), after V. Jacobson, "Congestion avoidance and control",
- * SIGCOMM 1988.
+ * Time-out for the answers of a peer, estimated from its recent answer times: the
+ * retransmission timer of RFC 6298 (V. Paxson et al., 2011), after V. Jacobson, "Congestion
+ * avoidance and control", SIGCOMM 1988.
  */
 
-/** Weight of the newest answer in the mean and in the variation. */
+/** Weights of the newest answer in the mean and in the variation. */
 const MEAN_WEIGHT = 1 / 8
 const VARIATION_WEIGHT = 1 / 4
-/** Variations beyond the mean after which an answer counts as missing. */
+/** Number of variations above the mean after which an answer counts as missing. */
 const VARIATION_MULTIPLIER = 4
-/** Growth of the time with each answer that was missing since the last one. */
+/** Factor of the time-out for each missing answer since the last one that came. */
 const BACKOFF_FACTOR = 2
 
-/** The answer times of one peer. */
+/** Time-out estimate of one peer. */
 export interface RoundTrip {
-  /** Takes note of an answer that the peer gave at once. */
+  /** Records the time of an answer that the peer gave without waiting. */
   note(tookMs: number): void
-  /** An answer was missing: the next one is waited for longer. */
+  /** Records a missing answer, which increases the time-out. */
   missed(): void
   /** Time after which an answer is missing, in ms. */
   timeoutMs(): number
 }
 
-/** Creates the timer; before the first answer it is at its longest. Bounds are in ms. */
+/** Creates the estimate, which is `mostMs` before the first answer. Bounds are in ms. */
 export function createRoundTrip(opts: { leastMs: number; mostMs: number }): RoundTrip {
   let meanMs: number | undefined
   let variationMs = 0
--- a/src/shared/silence.ts
+++ b/src/shared/silence.ts
@@ -1,27 +1,28 @@
 /**
- * Judges whether another process is silent. Only time in which this process could hear
- * counts: a processor that is slow or a long turn of our own delays what we read, and is
- * not the other's fault. Taken for it, the store was held silent for 0.3 s while it
- * answered in 4 ms, the lease ran out, and successors on nodes as slow did the same.
+ * Detects that another process is silent. Only time in which this process was able to read
+ * counts: a slow processor or a long turn of the own event loop delays reading, and is not the
+ * fault of the other process. When such time counted, the store was treated as silent for
+ * 0.3 s while it answered in 4 ms, the lease expired, and the next owners, on nodes as slow,
+ * lost theirs in the same way.
  */
 import { monotonicMs } from './utils.js'
 
-/** A timer that is this late shows that the process was not reading meanwhile, in ms. */
+/** Delay of a timer that shows that the process was not reading in the meantime, in ms. */
 const LATE_TIMER_MS = 20
-/** Longest wait, in times of the one that was asked for: every call ends. */
+/** Longest wait, as a multiple of the requested one, so that every call ends. */
 const MAX_WAIT_FACTOR = 3
 
-/** Waits for a sign of life, until it is stopped. */
+/** A time-out that received data restarts, until it is stopped. */
 export interface SilenceWatch {
-  /** Something was heard: the wait begins anew. */
+  /** Restarts the time-out, because data was received. */
   heard(): void
   stop(): void
 }
 
 /**
- * Starts waiting.
- * @param ms silence that is borne, while this process can hear
- * @param onSilent called once when nothing was heard for so long
+ * Starts the time-out.
+ * @param ms longest silence while this process is able to read
+ * @param onSilent called once when nothing was received for this time
  */
 export function watchSilence(ms: number, onSilent: () => void): SilenceWatch {
   let dueAt = monotonicMs() + ms
@@ -36,7 +37,7 @@
   function check(): void {
     const lateMs = monotonicMs() - dueAt
     if (lateMs < 0) return arm()
-    // What has arrived is read between two rounds of timers.
+    // Data that has arrived is read between two rounds of timers.
     if (lateMs < LATE_TIMER_MS || dueAt >= latestDueAt)
       return void setImmediate(reportSilence)
     dueAt = Math.min(latestDueAt, monotonicMs() + Math.min(lateMs, ms))
--- a/src/shared/unreadRows.ts
+++ b/src/shared/unreadRows.ts
@@ -1,26 +1,26 @@
 /**
- * Log lines about rows that cannot be read: one for each row and change, however often the
- * row is read or written in between.
+ * Logs invalid rows: one line when a row becomes invalid or valid again or the reason changes,
+ * however often the row is read or written in between.
  */
 import type { Logger } from './logger.js'
 import { cutText } from './utils.js'
 
-/** Longest reason in a line, in characters: a schema names each of a thousand wrong parts. */
+/** Longest reason in a line, in characters; a schema may name a thousand invalid parts. */
 const MAX_REASON_CHARS = 300
 /** Longest key in a line, in characters. */
 const MAX_KEY_CHARS = 200
-/** Rows that are remembered at most; the oldest is forgotten, and told again. */
+/** Most rows that are remembered; the oldest is forgotten, and is logged again when read. */
 const MAX_REMEMBERED_ROWS = 2000
 
-/** The rows of one table that cannot be read. */
+/** The invalid rows of one table. */
 export interface UnreadRows {
-  /** The row cannot be read; a line is written when that is new, or for another reason. */
+  /** Records that the row is invalid; logs it when that or the reason is new. */
   note(key: string, reason: string): void
-  /** The row can be read, or is gone. */
+  /** Records that the row is valid or was removed. */
   clear(key: string): void
 }
 
-/** Starts with no such row. */
+/** Creates the record with no invalid row. */
 export function createUnreadRows(log: Logger, table: string): UnreadRows {
   const reasons = new Map<string, string>()
 
--- a/src/shared/utils.ts
+++ b/src/shared/utils.ts
@@ -1,14 +1,14 @@
-/** Small helpers without a better home. Keep this file short. */
+/** Small general helpers. Keep this file short. */
 import { setMaxListeners } from 'node:events'
 
-/** A controller whose signal many tasks may wait on. */
+/** Creates a controller whose signal may have any number of listeners. */
 export function createStopController(): AbortController {
   const controller = new AbortController()
   setMaxListeners(0, controller.signal)
   return controller
 }
 
-/** Resolves after `ms` milliseconds, or at once when the signal fires. Never rejects. */
+/** Resolves after `ms` milliseconds, or immediately when the signal fires. Never rejects. */
 export function sleep(ms: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal?.aborted) return resolve()
@@ -22,7 +22,7 @@
   })
 }
 
-/** Resolves at the steady time, in ms; at once where that is past, or when the signal fires. */
+/** Resolves at a monotonic time, in ms; immediately when it is past or the signal fires. */
 export async function sleepUntil(at: number, signal?: AbortSignal): Promise<void> {
   const leftMs = at - monotonicMs()
   if (leftMs > 0) await sleep(leftMs, signal)
@@ -33,13 +33,16 @@
   return performance.now()
 }
 
-/** A delay drawn evenly from 0 to `capMs` doubled per attempt, for retries with full jitter. */
+/**
+ * Returns a random delay for retries with full jitter, uniform from 0 to `baseMs` doubled per
+ * attempt, at most `capMs`.
+ */
 export function fullJitter(attempt: number, baseMs: number, capMs: number): number {
   const ceiling = Math.min(capMs, baseMs * 2 ** Math.min(attempt, 20))
   return Math.random() * ceiling
 }
 
-/** JSON with object keys in sorted order, so that equal values give equal text. */
+/** Encodes JSON with sorted object keys, so that equal values give equal text. */
 export function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     if (inner === null || typeof inner !== 'object' || Array.isArray(inner)) return inner
@@ -60,15 +63,15 @@
   return groups
 }
 
-/** Part of an interval by which {@link jittered} spreads it. */
+/** Share of an interval over which {@link jittered} spreads it. */
 const JITTER_SHARE = 0.2
 
-/** The interval, a tenth shorter or longer at random, so that processes do not march in step. */
+/** Varies an interval at random by up to a tenth, so that processes do not synchronize. */
 export function jittered(ms: number): number {
   return ms * (1 - JITTER_SHARE / 2 + Math.random() * JITTER_SHARE)
 }
 
-/** Parsed JSON, or undefined: the schema check that follows reports it as misshapen. */
+/** Parses JSON; undefined when it is invalid, which the following schema check reports. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text)
@@ -77,7 +80,7 @@
   }
 }
 
-/** The text, or its beginning and its whole length when it is longer than that. */
+/** Returns the text; a longer one is cut to `maxLength`, followed by its original length. */
 export function cutText(text: string, maxLength: number): string {
   if (text.length <= maxLength) return text
   return `${text.slice(0, maxLength)}… (${text.length} characters)`
--- a/src/sharing/index.ts
+++ b/src/sharing/index.ts
@@ -1,2 +1,2 @@
-/** Sharing of targets between tasks that serve and tasks that fill. */
+/** Sharing of targets between tasks that serve users and filler tasks. */
 export * from './pacer.js'
--- a/src/sharing/pacer.ts
+++ b/src/sharing/pacer.ts
@@ -1,40 +1,41 @@
 /**
- * Paces tasks that fill a target's unused processor time, so that the tasks that serve
- * users there keep their tail latency: down fast, up slowly, by the reported tails.
+ * Paces filler tasks, which use the spare processor time of a target, so that the tasks that
+ * serve users there keep their tail latency. Their pace is reduced fast and increased slowly,
+ * according to the reported tail latencies.
  */
 
-/** Tails above this part of the bound slow the fillers; below the lower one they speed up. */
+/** Shares of the latency bound above which fillers slow down and below which they speed up. */
 const SLOW_DOWN_ABOVE = 0.8
 const SPEED_UP_BELOW = 0.55
-/** Factor of one step down: under a tenth after four of them, within the platform's 4 s. */
+/** Factor of one step down: below a tenth after four steps, within the platform's 4 s. */
 const STEP_DOWN_FACTOR = 0.5
-/** Points of one step up. */
+/** Percentage points of one step up. */
 const STEP_UP_PERCENT = 8
-/** Below this percent a filler is stopped altogether: it would still disturb. */
+/** Lowest pace, in percent; below it a filler would still disturb, and is paced to 0. */
 const MIN_PERCENT = 4
-/** Time between two steps on one target, in ms: a report covers half a second. */
+/** Shortest time between two steps on one target, in ms; a report covers half a second. */
 const STEP_INTERVAL_MS = 500
 
-/** What runs on a target, as last reported. */
+/** A run on a target, as last reported. */
 export interface SharedRun {
   name: string
-  /** Bound of the tail latency in ms; 0 when it serves nobody. */
+  /** Upper bound of the tail latency, in ms; 0 when the task does not serve users. */
   tailMs: number
   fills: boolean
-  /** Reported tail in ms of a serving task. */
+  /** Reported tail latency of a serving task, in ms. */
   load: number
 }
 
-/** A pace to order for one run. */
+/** An order to pace one run. */
 export interface PaceOrder {
   name: string
-  /** Share of its speed, from 0 to 100. */
+  /** Share of its full speed, from 0 to 100. */
   percent: number
 }
 
-/** The pace of the fillers on one target. */
+/** Controls the pace of the fillers on one target. */
 export interface Pacer {
-  /** Takes a report; returns the orders to give. */
+  /** Processes a report; returns the orders to send. */
   step(runs: readonly SharedRun[], now: number): PaceOrder[]
 }
 
@@ -44,7 +45,7 @@
   let percent = 100
   let steppedAt = -Infinity
 
-  /** Worst tail of the serving tasks, as a part of its bound. */
+  /** Returns the highest tail latency of the serving tasks, as a share of its bound. */
   const worstTailRatio = (runs: readonly SharedRun[]): number =>
     Math.max(0, ...runs.map(({ tailMs, load }) => (tailMs > 0 ? load / tailMs : 0)))
 
