--- a/src/kernel/__tests__/kernel.spec.ts
+++ b/src/kernel/__tests__/kernel.spec.ts
@@ -3,7 +3,7 @@
 import { createKernel } from '../kernel.js'
 import type { ServiceDefinition } from '../kernel.js'
 
-/** A definition that notes when it starts and stops. */
+/** Defines a service that records when it starts and stops. */
 function recordingService(
   notes: string[],
   name: string,
@@ -27,7 +27,7 @@
 
 describe('createKernel', () => {
   describe('order', () => {
-    it('starts needs first and stops in reverse', async (t) => {
+    it('starts dependencies first and stops in reverse', async (t) => {
       const notes: string[] = []
       const definitions = [
         recordingService(notes, 'c', ['b']),
@@ -53,7 +53,7 @@
   })
 
   describe('failures', () => {
-    it('stops what had started when a service fails to start', async (t) => {
+    it('stops the started services when another fails to start', async (t) => {
       const notes: string[] = []
       const definitions = [
         recordingService(notes, 'a', []),
@@ -64,7 +64,7 @@
       t.deepEqual(notes, ['+a', '-a'])
     })
 
-    it('goes on stopping after a service fails to stop, and logs it', async (t) => {
+    it('stops the other services when one fails to stop, and logs it', async (t) => {
       const notes: string[] = []
       const log = createMemoryLogger()
       const definitions = [
--- a/src/shared/__tests__/bounded.spec.ts
+++ b/src/shared/__tests__/bounded.spec.ts
@@ -6,7 +6,7 @@
 import { createFdSink } from '../fdSink.js'
 
 describe('createEventLimit', () => {
-  it('bounds each kind by itself and tells what was left out', (t) => {
+  it('limits each kind separately and counts what was left out', (t) => {
     let now = 0
     const limit = createEventLimit(() => now)
     let written = 0
--- a/src/shared/__tests__/events.spec.ts
+++ b/src/shared/__tests__/events.spec.ts
@@ -4,7 +4,7 @@
 import { EVENTS, createLogger } from '../index.js'
 
 describe('events', () => {
-  it('have numbers of their own', (t) => {
+  it('have unique numbers', (t) => {
     const ids = Object.values(EVENTS).map(({ id }) => id)
     t.is(new Set(ids).size, ids.length)
     for (const id of ids) t.regex(id, /^RS-\d{4}$/)
@@ -45,7 +45,7 @@
     t.like(started, { event: 'RS-1001', component: 'c' })
   })
 
-  it('turns the routing lines down alone', async (t) => {
+  it('can leave out only the routing events', async (t) => {
     const lines = await linesOf({ routing: false })
     t.deepEqual(
       lines.map((line) => line['event']),
--- a/src/shared/__tests__/roundTrip.spec.ts
+++ b/src/shared/__tests__/roundTrip.spec.ts
@@ -4,24 +4,24 @@
 const BOUNDS = { leastMs: 100, mostMs: 700 }
 
 describe('createRoundTrip', () => {
-  it('is at its longest before the first answer', (t) => {
+  it('starts with the longest time-out before the first answer', (t) => {
     t.is(createRoundTrip(BOUNDS).timeoutMs(), BOUNDS.mostMs)
   })
 
-  it('does not take the answers of a slow peer for missing', (t) => {
+  it('does not treat the answers of a slow peer as missing', (t) => {
     const roundTrip = createRoundTrip(BOUNDS)
     for (const tookMs of [5, 5, 300, 320, 310, 300, 305]) roundTrip.note(tookMs)
     t.true(roundTrip.timeoutMs() > 320)
   })
 
-  it('comes back to the shortest time once answers are soon again', (t) => {
+  it('returns to the shortest time-out once answers are fast again', (t) => {
     const roundTrip = createRoundTrip(BOUNDS)
     for (let each = 0; each < 5; each++) roundTrip.note(300)
     for (let each = 0; each < 40; each++) roundTrip.note(3)
     t.is(roundTrip.timeoutMs(), BOUNDS.leastMs)
   })
 
-  it('waits longer with each answer that is missing, until one comes', (t) => {
+  it('doubles the time-out with each missing answer, until one arrives', (t) => {
     const roundTrip = createRoundTrip(BOUNDS)
     roundTrip.note(3)
     const waits = Array.from({ length: 4 }, () => {
--- a/src/shared/__tests__/silence.spec.ts
+++ b/src/shared/__tests__/silence.spec.ts
@@ -1,7 +1,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { monotonicMs, sleep, watchSilence } from '../index.js'
 
-/** Keeps the process from reading anything for so long. */
+/** Blocks the event loop, so that the process reads nothing meanwhile. */
 function blockEventLoop(ms: number): void {
   const endsAt = monotonicMs() + ms
   while (monotonicMs() < endsAt);
@@ -15,14 +15,14 @@
 }
 
 describe('watchSilence', () => {
-  it('tells once of silence that lasts', async (t) => {
+  it('reports silence that lasts', async (t) => {
     const { silentAfter } = startWatch(50)
-    // Other tests of this file block the process, which puts the end off.
+    // Other tests of this file block the process, which delays the report.
     for (let each = 0; each < 100 && silentAfter() === undefined; each++) await sleep(20)
     t.true((silentAfter() ?? 0) >= 49)
   })
 
-  it('begins anew with each sign of life', async (t) => {
+  it('restarts whenever data is received', async (t) => {
     const { watch, silentAfter } = startWatch(200)
     for (let each = 0; each < 6; each++) {
       await sleep(60)
@@ -33,7 +33,7 @@
     t.truthy(silentAfter())
   })
 
-  it('says nothing once it is stopped', async (t) => {
+  it('reports nothing once it is stopped', async (t) => {
     const { watch, silentAfter } = startWatch(30)
     watch.stop()
     await sleep(100)
@@ -41,7 +41,7 @@
   })
 
   describe('process that could not read meanwhile', () => {
-    it('reads what has arrived before it calls the other one silent', async (t) => {
+    it('reads what has arrived before it reports silence', async (t) => {
       const { watch, silentAfter } = startWatch(100)
       setImmediate(() => watch.heard())
       blockEventLoop(250)
@@ -50,7 +50,7 @@
       watch.stop()
     })
 
-    it('waits as much longer as it was late, and not for ever', async (t) => {
+    it('extends the wait by its delay, but not without end', async (t) => {
       const { silentAfter } = startWatch(60)
       for (let each = 0; each < 8 && silentAfter() === undefined; each++) {
         blockEventLoop(100)
--- a/src/sharing/__tests__/pacer.spec.ts
+++ b/src/sharing/__tests__/pacer.spec.ts
@@ -11,13 +11,13 @@
 const filler: SharedRun = { name: 'f', tailMs: 0, fills: true, load: 0 }
 
 describe('createPacer', () => {
-  it('leaves fillers alone while the tail is low', (t) => {
+  it('sends no orders to fillers while the tail latency is low', (t) => {
     const pacer = createPacer()
     for (let now = 0; now < 5000; now += 500)
       t.deepEqual(pacer.step([serving(40), filler], now), [])
   })
 
-  it('stops fillers within 4 s of a tail over its bound', (t) => {
+  it('paces fillers to 0 within 4 s of a tail latency above its bound', (t) => {
     const pacer = createPacer()
     let percent = 100
     for (let now = 0; now < 3500; now += 500) {
@@ -26,7 +26,7 @@
     t.is(percent, 0)
   })
 
-  it('brings a plant that answers to the pace to rest under the bound', (t) => {
+  it('keeps a tail latency that depends on the pace below its bound', (t) => {
     const pacer = createPacer()
     let percent = 100
     let over = 0
@@ -42,7 +42,7 @@
     t.true(sum / 240 > 15, `mean pace ${sum / 240}`)
   })
 
-  it('paces a filler that came later as the others', (t) => {
+  it('gives a filler that starts later the pace of the others', (t) => {
     const pacer = createPacer()
     pacer.step([serving(150), filler], 0)
     const orders = pacer.step([serving(70), filler, { ...filler, name: 'g' }], 100)
