--- a/src/shared/errors.ts
+++ b/src/shared/errors.ts
@@ -21,7 +21,7 @@
 /** Invalid settings; the message names file, section and key. */
 export const ConfigError = RillshuntError.subclass('ConfigError')
 
-/** How a platform call failed, which tells what is known about its effect. */
+/** How a platform call failed, and so what is known about its effect. */
 export type PlatformFailure =
   /** The platform refused it; it had no effect. */
   | 'refused'
--- a/src/shared/roundTrip.ts
+++ b/src/shared/roundTrip.ts
@@ -9,7 +9,7 @@
 const VARIATION_WEIGHT = 1 / 4
 /** Number of variations above the mean after which an answer counts as missing. */
 const VARIATION_MULTIPLIER = 4
-/** Factor of the time-out for each missing answer since the last one that came. */
+/** Factor by which each missing answer lengthens the time-out until one arrives. */
 const BACKOFF_FACTOR = 2
 
 /** Time-out estimate of one peer. */
--- a/src/shared/silence.ts
+++ b/src/shared/silence.ts
@@ -1,6 +1,6 @@
 /**
  * Detects that another process is silent. Only time in which this process was able to read
- * counts: a slow processor or a long turn of the own event loop delays reading, and is not the
+ * counts: a slow processor or a long turn of its event loop delays reading, and is not the
  * fault of the other process. When such time counted, the store was treated as silent for
  * 0.3 s while it answered in 4 ms, the lease expired, and the next owners, on nodes as slow,
  * lost theirs in the same way.
--- a/src/shared/utils.ts
+++ b/src/shared/utils.ts
@@ -66,7 +66,7 @@
 /** Share of an interval over which {@link jittered} spreads it. */
 const JITTER_SHARE = 0.2
 
-/** Varies an interval at random by up to a tenth, so that processes do not synchronize. */
+/** Varies an interval at random by up to a tenth, so that processes do not run in step. */
 export function jittered(ms: number): number {
   return ms * (1 - JITTER_SHARE / 2 + Math.random() * JITTER_SHARE)
 }
