--- a/src/shared/__tests__/silence.spec.ts
+++ b/src/shared/__tests__/silence.spec.ts
@@ -40,7 +40,7 @@
     t.is(silentAfter(), undefined)
   })
 
-  describe('process that could not read meanwhile', () => {
+  describe('process that was unable to read for a while', () => {
     it('reads what has arrived before it reports silence', async (t) => {
       const { watch, silentAfter } = startWatch(100)
       setImmediate(() => watch.heard())
@@ -50,7 +50,7 @@
       watch.stop()
     })
 
-    it('extends the wait by its delay, but not without end', async (t) => {
+    it('extends the wait by its delay, up to a maximum', async (t) => {
       const { silentAfter } = startWatch(60)
       for (let each = 0; each < 8 && silentAfter() === undefined; each++) {
         blockEventLoop(100)
