--- a/src/kernel/__tests__/kernel.spec.ts
+++ b/src/kernel/__tests__/kernel.spec.ts
@@ -3,8 +3,8 @@
 import { createKernel } from '../kernel.js'
 import type { ServiceDefinition } from '../kernel.js'
 
-/** A definition that notes when it starts and stops. */
-function noting(
+/** Defines a service that records when it starts and stops. */
+function recordingService(
   notes: string[],
   name: string,
   needs: string[],
@@ -27,12 +27,12 @@
 
 describe('createKernel', () => {
   describe('order', () => {
-    it('starts needs first and stops in reverse', async (t) => {
+    it('starts dependencies first and stops in reverse', async (t) => {
       const notes: string[] = []
       const definitions = [
-        noting(notes, 'c', ['b']),
-        noting(notes, 'a', []),
-        noting(notes, 'b', ['a']),
+        recordingService(notes, 'c', ['b']),
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a']),
       ]
       const kernel = createKernel(definitions, createMemoryLogger())
       t.true((await kernel.start()).isOk())
@@ -42,26 +42,35 @@
 
     it('names a cycle and a missing service', async (t) => {
       const log = createMemoryLogger()
-      const cycle = createKernel([noting([], 'a', ['b']), noting([], 'b', ['a'])], log)
+      const cycle = createKernel(
+        [recordingService([], 'a', ['b']), recordingService([], 'b', ['a'])],
+        log,
+      )
       t.is((await cycle.start())._unsafeUnwrapErr().message, 'cycle: a -> b -> a')
-      const missing = createKernel([noting([], 'a', ['x'])], log)
+      const missing = createKernel([recordingService([], 'a', ['x'])], log)
       t.regex((await missing.start())._unsafeUnwrapErr().message, /'a' needs 'x'/)
     })
   })
 
   describe('failures', () => {
-    it('stops what had started when a service fails to start', async (t) => {
+    it('stops the started services when another fails to start', async (t) => {
       const notes: string[] = []
-      const definitions = [noting(notes, 'a', []), noting(notes, 'b', ['a'], 'start')]
+      const definitions = [
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a'], 'start'),
+      ]
       const started = await createKernel(definitions, createMemoryLogger()).start()
       t.regex(started._unsafeUnwrapErr().message, /b cannot start/)
       t.deepEqual(notes, ['+a', '-a'])
     })
 
-    it('goes on stopping after a service fails to stop, and logs it', async (t) => {
+    it('stops the other services when one fails to stop, and logs it', async (t) => {
       const notes: string[] = []
       const log = createMemoryLogger()
-      const definitions = [noting(notes, 'a', []), noting(notes, 'b', ['a'], 'stop')]
+      const definitions = [
+        recordingService(notes, 'a', []),
+        recordingService(notes, 'b', ['a'], 'stop'),
+      ]
       const kernel = createKernel(definitions, log)
       await kernel.start()
       await Promise.all([kernel.stop(), kernel.stop()])
