--- a/bench/__tests__/capacityPage.spec.ts
+++ b/bench/__tests__/capacityPage.spec.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from 'node:fs'
 import { describe, it } from '../../test/describe.js'
-import { BLOCK, renderCapacity } from '../capacityPage.js'
+import { MARKERS, renderCapacity } from '../capacityPage.js'
 import type { CapacityResults } from '../capacityPage.js'
 import { fitExponent, fitLine } from '../fit.js'
 
 /** Cells without the padding that the formatter adds. */
-const plain = (text: string): string =>
+const normalize = (text: string): string =>
   text
     .replace(/ *\| */g, '|')
     .replace(/-{3,}/g, '---')
@@ -18,8 +18,8 @@
       readFileSync('bench/results/capacity.json', 'utf8'),
     ) as CapacityResults
     const page = readFileSync('docs/CAPACITY.md', 'utf8')
-    const block = page.split(BLOCK.begin)[1]?.split(BLOCK.end)[0] ?? ''
-    t.is(plain(block), plain(renderCapacity(results)))
+    const block = page.split(MARKERS.begin)[1]?.split(MARKERS.end)[0] ?? ''
+    t.is(normalize(block), normalize(renderCapacity(results)))
   })
 })
 
--- a/bench/__tests__/days.spec.ts
+++ b/bench/__tests__/days.spec.ts
@@ -3,7 +3,7 @@
 
 const FOLDER = 'deploy/days'
 /** Days that the users have handed over, as they wrote them. */
-const HANDED_OVER: Record<string, string> = {
+const WRITTEN_BY_USERS: Record<string, string> = {
   deadly: `name = "deadly"
 faults = [{ at = 5.0, kind = "poison", how = "deadly", class = "esim-quick", share = 0.03, for_s = 20.0 }]
 `,
@@ -13,7 +13,7 @@
     name: file.replace(/\.toml$/, ''),
     text: readFileSync(`${FOLDER}/${file}`, 'utf8'),
   }))
-  .filter(({ name }) => HANDED_OVER[name] === undefined)
+  .filter(({ name }) => WRITTEN_BY_USERS[name] === undefined)
 
 describe('deploy/days', () => {
   for (const { name, text } of days) {
@@ -36,7 +36,7 @@
   }
 
   describe('handed over by the users', () => {
-    for (const [name, text] of Object.entries(HANDED_OVER)) {
+    for (const [name, text] of Object.entries(WRITTEN_BY_USERS)) {
       it(`keeps ${name} as they wrote it`, (t) => {
         t.is(readFileSync(`${FOLDER}/${name}.toml`, 'utf8'), text)
       })
--- a/bench/__tests__/deploy.spec.ts
+++ b/bench/__tests__/deploy.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from '../../test/describe.js'
 
 /** Flags of the program in the deploy file. */
-const deployed = (): string[] =>
+const deployedFlags = (): string[] =>
   /^run = "node ((?:--\S+ )*)target/m
     .exec(readFileSync('deploy/system.toml', 'utf8'))?.[1]
     ?.trim()
@@ -14,7 +14,7 @@
     const list = /const V8_FLAGS = (\[[^\]]*\])/.exec(
       readFileSync('scripts/bundle.mjs', 'utf8'),
     )
-    t.true(deployed().length > 0)
-    t.deepEqual(JSON.parse((list?.[1] ?? '').replaceAll("'", '"')), deployed())
+    t.true(deployedFlags().length > 0)
+    t.deepEqual(JSON.parse((list?.[1] ?? '').replaceAll("'", '"')), deployedFlags())
   })
 })
--- a/bench/account/__tests__/account.spec.ts
+++ b/bench/account/__tests__/account.spec.ts
@@ -42,7 +42,7 @@
     t.is(account.seconds.length, 9)
     t.is(account.seconds[0]?.byService.get('a')?.jobs, 1)
     t.is(account.seconds[2]?.vms.get('a'), 1)
-    t.deepEqual(account.seconds[6]?.taken, ['a'])
+    t.deepEqual(account.seconds[6]?.newOwners, ['a'])
   })
 
   it('draws a curve for each service and pool', (t) => {
--- a/bench/account/buildAccount.ts
+++ b/bench/account/buildAccount.ts
@@ -2,7 +2,7 @@
 import type { LogEvent } from './readLog.js'
 
 /** A task that waited no longer had no cause to; two looks of an owner, in ms. */
-const SHORT_WAIT_MS = 200
+const MIN_EXPLAINED_WAIT_MS = 200
 /** A moved VM is there after so long; what waits meanwhile waits for it, in ms. */
 const MOVE_MS = 1700
 
@@ -11,7 +11,7 @@
   'no owner' | 'takeover' | 'fleet without owner' | 'VMs on the way' | 'no room'
 
 /** One second of a run. */
-export interface Second {
+export interface SecondStats {
   /** Seconds since the first job. */
   at: number
   /** Jobs taken on, tasks started, and the wait that a tenth of these exceeded, in ms. */
@@ -19,12 +19,12 @@
   /** VMs by pool at its end, among those that an order named so far. */
   vms: Map<string, number>
   /** Services with a new owner. */
-  taken: string[]
+  newOwners: string[]
 }
 
 /** The account of one run. */
 export interface Account {
-  seconds: Second[]
+  seconds: SecondStats[]
   /** Time that tasks waited, in task-seconds, by cause. */
   waited: Map<Cause, number>
   /** Jobs that callers were told are not kept, by what the log calls the failure. */
@@ -37,32 +37,32 @@
 }
 
 const FLEET = '~fleet'
-const OWNER_ENDS = new Set(['ownershipLost', 'ownershipReleased'])
+const OWNERSHIP_END_EVENTS = new Set(['ownershipLost', 'ownershipReleased'])
 
 /** Times in which a service had no owner, or one that did not know all runs yet. */
 function ownerGaps(
   events: LogEvent[],
   service: string,
-): { none: Span[]; takeover: Span[] } {
-  const none: Span[] = []
+): { noOwner: Span[]; takeover: Span[] } {
+  const noOwner: Span[] = []
   const takeover: Span[] = []
-  let lastSign = events[0]?.at ?? 0
+  let lastEventAt = events[0]?.at ?? 0
   let owner = ''
   for (const event of events) {
-    const concerns = event.service === service
-    if (event.node === owner) lastSign = event.at
-    if (!concerns) continue
-    if (OWNER_ENDS.has(event.name) && event.node === owner) owner = ''
+    const isOfService = event.service === service
+    if (event.node === owner) lastEventAt = event.at
+    if (!isOfService) continue
+    if (OWNERSHIP_END_EVENTS.has(event.name) && event.node === owner) owner = ''
     if (event.name === 'ownershipTaken') {
-      none.push({ from: lastSign, until: event.at })
+      noOwner.push({ from: lastEventAt, until: event.at })
       takeover.push({ from: event.at, until: event.at })
       owner = event.node
-      lastSign = event.at
+      lastEventAt = event.at
     }
     if (event.name === 'takeoverDone' && event.node === owner)
       takeover.at(-1)!.until = event.at
   }
-  return { none, takeover }
+  return { noOwner, takeover }
 }
 
 const overlaps = (spans: Span[], from: number, until: number): boolean =>
@@ -80,60 +80,61 @@
   )
   const waited = new Map<Cause, number>()
   const refused = new Map<string, number>()
-  const seconds: Second[] = []
+  const seconds: SecondStats[] = []
   const pools = new Map<string, string>()
   for (const { vm, from } of moves) {
     if (vm && from && !pools.has(vm)) pools.set(vm, from)
   }
 
-  const secondOf = (at: number): Second | undefined => {
+  const secondOf = (at: number): SecondStats | undefined => {
     const index = Math.floor((at - firstJob) / 1000)
     if (index < 0) return undefined
     while (seconds.length <= index) {
       const vms = new Map<string, number>()
       for (const pool of pools.values()) vms.set(pool, (vms.get(pool) ?? 0) + 1)
-      seconds.push({ at: seconds.length, byService: new Map(), vms, taken: [] })
+      seconds.push({ at: seconds.length, byService: new Map(), vms, newOwners: [] })
     }
     return seconds[index]
   }
-  const entryOf = (second: Second, service: string) => {
-    const known = second.byService.get(service) ?? { jobs: 0, starts: 0, waitMs: 0 }
-    second.byService.set(service, known)
-    return known
+  const statsOf = (second: SecondStats, service: string) => {
+    const stats = second.byService.get(service) ?? { jobs: 0, starts: 0, waitMs: 0 }
+    second.byService.set(service, stats)
+    return stats
   }
 
-  const causeOf = (service: string, from: number, until: number): Cause => {
+  const findCause = (service: string, from: number, until: number): Cause => {
     const own = gaps.get(service)
-    if (own && overlaps(own.none, from, until)) return 'no owner'
+    if (own && overlaps(own.noOwner, from, until)) return 'no owner'
     if (own && overlaps(own.takeover, from, until)) return 'takeover'
-    if (overlaps(gaps.get(FLEET)?.none ?? [], from, until)) return 'fleet without owner'
-    const coming = moves.some(
+    if (overlaps(gaps.get(FLEET)?.noOwner ?? [], from, until))
+      return 'fleet without owner'
+    const isVmMoving = moves.some(
       ({ pool, at }) => pool === service && at < until && at + MOVE_MS > from,
     )
-    return coming ? 'VMs on the way' : 'no room'
+    return isVmMoving ? 'VMs on the way' : 'no room'
   }
 
-  const waits = new Map<{ waitMs: number }, number[]>()
-  const HANDLERS: Record<string, (event: LogEvent, second: Second) => void> = {
+  const waitsByStats = new Map<{ waitMs: number }, number[]>()
+  const HANDLERS: Record<string, (event: LogEvent, second: SecondStats) => void> = {
     jobTaken({ job, service }, second) {
       if (!job || !service) return
       serviceOf.set(job, service)
-      entryOf(second, service).jobs++
+      statsOf(second, service).jobs++
     },
     taskPlaced({ task = '', waitedMs = 0, at }, second) {
       const service = serviceOf.get(task.slice(0, task.indexOf('.')))
       if (!service) return
-      const entry = entryOf(second, service)
-      entry.starts++
-      waits.set(entry, [...(waits.get(entry) ?? []), waitedMs])
-      if (waitedMs <= SHORT_WAIT_MS) return
-      const cause = causeOf(service, at - waitedMs, at)
+      const stats = statsOf(second, service)
+      stats.starts++
+      waitsByStats.set(stats, [...(waitsByStats.get(stats) ?? []), waitedMs])
+      if (waitedMs <= MIN_EXPLAINED_WAIT_MS) return
+      const cause = findCause(service, at - waitedMs, at)
       waited.set(cause, (waited.get(cause) ?? 0) + waitedMs / 1000)
     },
     vmOrdered({ kind, answer, vm, pool }) {
       if (kind === 'move' && answer === 'accepted' && vm && pool) pools.set(vm, pool)
     },
-    ownershipTaken: ({ service = '' }, second) => void second.taken.push(service),
+    ownershipTaken: ({ service = '' }, second) => void second.newOwners.push(service),
     jobRefused({ failure = 'invalid' }) {
       refused.set(failure, (refused.get(failure) ?? 0) + 1)
     },
@@ -145,9 +146,9 @@
       if (event.kind === 'move' && event.pool) pools.set(event.vm, event.pool)
     }
   }
-  for (const [entry, all] of waits) {
+  for (const [stats, all] of waitsByStats) {
     all.sort((a, b) => a - b)
-    entry.waitMs = all[Math.floor(all.length * 0.9)] ?? 0
+    stats.waitMs = all[Math.floor(all.length * 0.9)] ?? 0
   }
   return { seconds, waited, refused }
 }
--- a/bench/account/main.ts
+++ b/bench/account/main.ts
@@ -5,7 +5,7 @@
 import { plotAccount } from './plotAccount.js'
 import { readLog } from './readLog.js'
 
-const [file, picture] = process.argv.slice(2)
+const [file, svgFile] = process.argv.slice(2)
 if (file === undefined) {
   console.error('Usage: npm run account -- LOG [SVG]')
   process.exit(2)
@@ -15,12 +15,12 @@
   ...new Set(account.seconds.flatMap((each) => [...each.byService.keys()])),
 ]
 const rows = new Table({ head: ['second', ...services, 'new owners'] })
-for (const { at, byService, taken } of account.seconds) {
+for (const { at, byService, newOwners } of account.seconds) {
   const cells = services.map((service) => {
     const entry = byService.get(service)
     return entry ? `${entry.jobs} jobs, ${entry.starts} starts, ${entry.waitMs} ms` : ''
   })
-  rows.push([String(at), ...cells, taken.join(' ')])
+  rows.push([String(at), ...cells, newOwners.join(' ')])
 }
 console.log(rows.toString())
 const causes = new Table({ head: ['waited for', 'task-seconds'] })
@@ -28,4 +28,4 @@
 for (const [failure, count] of account.refused)
   causes.push([`jobs ${failure}`, `${count}`])
 console.log(causes.toString())
-if (picture !== undefined) writeFileSync(picture, plotAccount(account))
+if (svgFile !== undefined) writeFileSync(svgFile, plotAccount(account))
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -14,24 +14,24 @@
 import { readFleetState, waveInput } from '../src/keeper/index.js'
 import { createMemoryLogger } from '../src/shared/index.js'
 import { startChild } from './childProcess.js'
-import { median } from './drive.js'
+import { median } from './loadGenerator.js'
 import { fitExponent, fitLine } from './fit.js'
 import type { Point } from './fit.js'
 import { GENERATED_HALL, generateHall } from './fleetData.js'
 import { startHallPlatform } from './hallPlatform.js'
 
 const SEED = 5
-const VM_SIZES = [100, 200, 400, 800, 1300, 2600, 5200]
+const VM_COUNTS = [100, 200, 400, 800, 1300, 2600, 5200]
 const ROUNDS = 9
 /** Its table has the pools and services of the size to design for. */
 const DESIGN_VMS = 1300
-const TARGET_SIZES = [0, 20, 40, 80, 160]
-const PEER_SIZES = [2, 4, 8, 12]
-const WATCH_MS = 10_000
+const TARGET_COUNTS = [0, 20, 40, 80, 160]
+const ENTRY_COUNTS = [2, 4, 8, 12]
+const MEASURE_MS = 10_000
 /** Time for warm-up, after which an idle process is measured. */
-const SETTLE_MS = 10_000
+const WARM_UP_MS = 10_000
 
-const wait = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms))
+const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms))
 const collectGarbage = (globalThis as { gc?: () => void }).gc
 
 /** One round of decisions over an unchanged hall: time in ms, and the heap of its rows. */
@@ -39,7 +39,7 @@
   const times: Point[] = []
   const cold: Point[] = []
   const heap: Point[] = []
-  for (const size of VM_SIZES) {
+  for (const size of VM_COUNTS) {
     collectGarbage?.()
     const before = process.memoryUsage().heapUsed
     const hall = generateHall(size, SEED)
@@ -80,29 +80,29 @@
 /** The real entry binary, idle before so many targets: with the keeper, then without. */
 async function measureEntry(targets: number): Promise<{ hosted: Sample; alone: Sample }> {
   const hall = await startHallPlatform(targets, SEED)
-  const watch = async (hosted: boolean): Promise<Sample> => {
+  const measureWith = async (hosted: boolean): Promise<Sample> => {
     const file = await hall.writeSettings(hosted)
     const child = await startChild('dist/src/bin/entry.js', ['--config', file], /RS-3001/)
-    while (hall.running() < targets) await wait(100)
-    await wait(SETTLE_MS)
+    while (hall.countRunning() < targets) await sleep(100)
+    await sleep(WARM_UP_MS)
     const before = {
       cpu: child.cpuMs(),
-      calls: hall.calls(),
+      calls: hall.countCalls(),
       bytes: await hall.platformBytes(),
     }
-    await wait(WATCH_MS)
-    const seconds = WATCH_MS / 1000
+    await sleep(MEASURE_MS)
+    const seconds = MEASURE_MS / 1000
     const sample = {
-      cpuPercent: (child.cpuMs() - before.cpu) / (WATCH_MS / 100),
+      cpuPercent: (child.cpuMs() - before.cpu) / (MEASURE_MS / 100),
       residentMb: child.residentMb(),
-      platformCalls: (hall.calls() - before.calls) / seconds,
+      platformCalls: (hall.countCalls() - before.calls) / seconds,
       platformBytes: ((await hall.platformBytes()) - before.bytes) / seconds,
     }
     await child.stop()
     return sample
   }
-  const hosted = await watch(true)
-  const alone = await watch(false)
+  const hosted = await measureWith(true)
+  const alone = await measureWith(false)
   await hall.close()
   return { hosted, alone }
 }
@@ -119,7 +119,7 @@
     settings: { requests: { drain_notice: '0ms' } },
     log: () => createMemoryLogger(10),
   })
-  const read = async () => {
+  const readCounters = async () => {
     let bytes = 0
     let messages = 0
     for (const { kernel } of cluster.nodes) {
@@ -130,12 +130,12 @@
     }
     return { bytes, messages }
   }
-  await wait(3000)
-  const before = await read()
-  await wait(WATCH_MS)
-  const after = await read()
+  await sleep(3000)
+  const before = await readCounters()
+  await sleep(MEASURE_MS)
+  const after = await readCounters()
   await cluster.stop()
-  const perSecond = (value: number) => value / (WATCH_MS / 1000) / count
+  const perSecond = (value: number) => value / (MEASURE_MS / 1000) / count
   return {
     bytes: perSecond(after.bytes - before.bytes),
     messages: perSecond(after.messages - before.messages),
@@ -146,27 +146,27 @@
   const planning = measurePlanning()
   const entry: (Sample & { targets: number })[] = []
   const hosted: (Sample & { targets: number })[] = []
-  for (const targets of TARGET_SIZES) {
+  for (const targets of TARGET_COUNTS) {
     const sample = await measureEntry(targets)
     entry.push({ targets, ...sample.alone })
     hosted.push({ targets, ...sample.hosted })
   }
   const peers: { peers: number; bytes: number; messages: number }[] = []
-  for (const count of PEER_SIZES)
+  for (const count of ENTRY_COUNTS)
     peers.push({ peers: count - 1, ...(await measurePeers(count)) })
 
-  const of = (rows: (Sample & { targets: number })[], key: keyof Sample): Point[] =>
+  const toPoints = (rows: (Sample & { targets: number })[], key: keyof Sample): Point[] =>
     rows.map((row) => ({ size: row.targets, value: row[key] }))
   const fits = {
     'keeper round, ms per VM': fitLine(planning.times),
     'keeper first round, ms per VM': fitLine(planning.cold),
     'rows of a hall, KB per VM': fitLine(planning.heap),
-    'entry, % of a core per target': fitLine(of(entry, 'cpuPercent')),
-    'entry, MB per target': fitLine(of(entry, 'residentMb')),
-    'entry with keeper, % of a core per target': fitLine(of(hosted, 'cpuPercent')),
-    'entry with keeper, MB per target': fitLine(of(hosted, 'residentMb')),
+    'entry, % of a core per target': fitLine(toPoints(entry, 'cpuPercent')),
+    'entry, MB per target': fitLine(toPoints(entry, 'residentMb')),
+    'entry with keeper, % of a core per target': fitLine(toPoints(hosted, 'cpuPercent')),
+    'entry with keeper, MB per target': fitLine(toPoints(hosted, 'residentMb')),
     'entry with keeper, platform bytes/s per target': fitLine(
-      of(hosted, 'platformBytes'),
+      toPoints(hosted, 'platformBytes'),
     ),
     'peers, bytes/s per peer of the hall': fitLine(
       peers.map((row) => ({ size: row.peers, value: row.bytes })),
--- a/bench/childProcess.ts
+++ b/bench/childProcess.ts
@@ -6,7 +6,7 @@
 /** A running child. */
 export interface Child {
   /** The text that it printed with its ready line. */
-  ready: string
+  readyMatch: string
   /** Resident memory in MB, as the system counts it. */
   residentMb(): number
   /** Processor time used so far, in ms. */
@@ -27,15 +27,15 @@
   const child = spawn(process.execPath, [script, ...args], {
     stdio: ['ignore', 'pipe', 'inherit'],
   })
-  const waitsFor = readyPattern ?? /^/
-  const ready = await new Promise<string>((resolve, reject) => {
+  const pattern = readyPattern ?? /^/
+  const readyMatch = await new Promise<string>((resolve, reject) => {
     let out = ''
     if (!readyPattern) resolve('')
     child.once('exit', (code) => reject(new Error(`${script} ended with ${code}`)))
     child.stdout.on('data', (chunk: Buffer) => {
-      if (!readyPattern || waitsFor.test(out)) return
+      if (!readyPattern || pattern.test(out)) return
       out += chunk
-      const match = waitsFor.exec(out)
+      const match = pattern.exec(out)
       if (match) resolve(match[1] ?? match[0])
     })
   })
@@ -47,7 +47,7 @@
   }
   const proc = (file: string) => readFileSync(`/proc/${child.pid}/${file}`, 'utf8')
   return {
-    ready,
+    readyMatch,
     residentMb: () => Number(/VmRSS:\s+(\d+) kB/.exec(proc('status'))![1]) / 1024,
     cpuMs() {
       const fields = proc('stat').split(') ')[1]!.split(' ')
--- a/bench/entryFarm.ts
+++ b/bench/entryCluster.ts
@@ -13,12 +13,12 @@
 import { createRandom, exponential } from '../playground/random.js'
 import { startTarget } from '../playground/target.js'
 import type { Ledger, TargetBehaviour, TargetServer } from '../playground/target.js'
-import { newHistogram } from './drive.js'
+import { newHistogram } from './loadGenerator.js'
 
 const HOST = '127.0.0.1'
 
 /** Shape of a farm. */
-export interface FarmOptions {
+export interface EntryClusterOptions {
   entries: number
   instances: number
   slots: number
@@ -31,7 +31,7 @@
 }
 
 /** Entries and targets. */
-export interface Farm {
+export interface EntryCluster {
   urls: string[]
   targets: TargetServer[]
   ledger: Ledger
@@ -53,7 +53,9 @@
 }
 
 /** Starts a farm. */
-export async function startFarm(opts: FarmOptions): Promise<Farm> {
+export async function startEntryCluster(
+  opts: EntryClusterOptions,
+): Promise<EntryCluster> {
   const random = createRandom(opts.seed)
   const ledgers = Array.from({ length: opts.instances }, (): Ledger => new Map())
   const ports = await Promise.all(ledgers.map(freePort))
@@ -78,10 +80,16 @@
   }
   checkTable(raw)._unsafeUnwrap()
   const log = createMemoryLogger(10)
-  const quiet = { ...log, enabled: () => false, event: () => {}, child: () => quiet }
-  const farm: { router: Router; front: Front; targets: Target[]; metrics: Metrics }[] = []
+  const silentLog = {
+    ...log,
+    enabled: () => false,
+    event: () => {},
+    child: () => silentLog,
+  }
+  const entries: { router: Router; front: Front; targets: Target[]; metrics: Metrics }[] =
+    []
   for (let e = 0; e < opts.entries; e++) {
-    const table = createTableHolder(quiet)
+    const table = createTableHolder(silentLog)
     const accepted = {
       epoch: 1,
       acceptId: 'a',
@@ -99,7 +107,7 @@
         slots: opts.slots,
         connectTimeoutMs: 1000,
         healthIntervalMs: 500,
-        log: quiet,
+        log: silentLog,
       }),
     )
     const view = {
@@ -112,18 +120,19 @@
       requests: { queue: '2000', retry_share: String(opts.retryShare ?? 0.1) },
     })._unsafeUnwrap()
     const metrics = createMetrics()
-    const part = Math.floor(limit / opts.entries) + (e < limit % opts.entries ? 1 : 0)
+    const slotShare =
+      Math.floor(limit / opts.entries) + (e < limit % opts.entries ? 1 : 0)
     const router = createRouter({
       cfg,
       table,
       view,
       once: { begin: async () => ({ kind: 'first' }), end: async () => {} },
-      usable: () => part,
-      log: quiet,
+      usable: () => slotShare,
+      log: silentLog,
       metrics,
       policy: opts.policy,
     })
-    farm.push({
+    entries.push({
       router,
       targets,
       metrics,
@@ -132,10 +141,10 @@
   }
 
   return {
-    urls: farm.map(({ front }) => `http://${HOST}:${front.address.port}`),
+    urls: entries.map(({ front }) => `http://${HOST}:${front.address.port}`),
     targets: servers,
     ledger: new Map(),
-    metrics: farm.map(({ metrics }) => metrics),
+    metrics: entries.map(({ metrics }) => metrics),
     runsPerTarget: () =>
       ledgers.map((ledger) => [...ledger.values()].reduce((a, b) => a + b, 0)),
     async killAll() {
@@ -145,7 +154,7 @@
       servers = await Promise.all(ledgers.map((_, i) => start(i)))
     },
     async stop() {
-      for (const { targets, front } of farm) {
+      for (const { targets, front } of entries) {
         await Promise.all(targets.map((target) => target.close()))
         await Promise.race([
           front.close(),
@@ -182,7 +191,7 @@
 const SLICE_MS = 500
 
 /** Drives streams at once, each by a Poisson process of its own. */
-export async function drive(
+export async function runStreams(
   urls: string[],
   streams: Stream[],
   ms: number,
@@ -190,13 +199,13 @@
 ): Promise<StreamReport[]> {
   const agent = new Agent({ connections: 2000, pipelining: 1 })
   const reports = await Promise.all(
-    streams.map((stream, i) => driveOne(agent, urls, stream, ms, seed + i)),
+    streams.map((stream, i) => runStream(agent, urls, stream, ms, seed + i)),
   )
   await agent.destroy()
   return reports
 }
 
-async function driveOne(
+async function runStream(
   agent: Agent,
   urls: string[],
   stream: Stream,
@@ -217,24 +226,24 @@
   const pending: Promise<void>[] = []
   const startedAt = performance.now()
   for (
-    let due = exponential(random, 1000 / stream.rate);
-    due < ms;
-    due += exponential(random, 1000 / stream.rate)
+    let dueMs = exponential(random, 1000 / stream.rate);
+    dueMs < ms;
+    dueMs += exponential(random, 1000 / stream.rate)
   ) {
-    const wait = startedAt + due - performance.now()
-    if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-    const slice = Math.floor(due / SLICE_MS)
+    const waitMs = startedAt + dueMs - performance.now()
+    if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs))
+    const slice = Math.floor(dueMs / SLICE_MS)
     while (report.halfSeconds.length <= slice) {
       report.halfSeconds.push({ answered: 0, refused: 0, latency: newHistogram() })
     }
     const origin = urls[Math.floor(random() * urls.length)]!
-    pending.push(sendOne(agent, origin, stream, report, report.halfSeconds[slice]!))
+    pending.push(sendRequest(agent, origin, stream, report, report.halfSeconds[slice]!))
   }
   await Promise.all(pending)
   return report
 }
 
-async function sendOne(
+async function sendRequest(
   agent: Agent,
   origin: string,
   stream: Stream,
--- a/bench/fit.ts
+++ b/bench/fit.ts
@@ -29,16 +29,16 @@
   const slope = covariance / mean((p) => (p.size - meanSize) ** 2)
   const base = meanValue - slope * meanSize
   const residuals = points.map((p) => p.value - (base + slope * p.size))
-  const total = mean((p) => (p.value - meanValue) ** 2)
-  const left = residuals.reduce((sum, r) => sum + r * r, 0) / n
-  const largest = Math.max(...points.map((p) => Math.abs(p.value)))
-  const worst = Math.max(...residuals.map(Math.abs)) / largest
-  const digits = (value: number) => Number(value.toPrecision(3))
+  const variance = mean((p) => (p.value - meanValue) ** 2)
+  const residualVariance = residuals.reduce((sum, r) => sum + r * r, 0) / n
+  const maxValue = Math.max(...points.map((p) => Math.abs(p.value)))
+  const worst = Math.max(...residuals.map(Math.abs)) / maxValue
+  const round = (value: number) => Number(value.toPrecision(3))
   return {
-    slope: digits(slope),
-    base: digits(base),
-    r2: digits(1 - left / total),
-    worst: digits(worst),
+    slope: round(slope),
+    base: round(base),
+    r2: round(1 - residualVariance / variance),
+    worst: round(worst),
   }
 }
 
--- a/bench/fleetData.ts
+++ b/bench/fleetData.ts
@@ -39,7 +39,7 @@
   }
   const rows = new Map<string, Row>()
   const listed: ListedVm[] = []
-  const put = (key: string, value: unknown) =>
+  const putRow = (key: string, value: unknown) =>
     rows.set(key, {
       key,
       version: 1,
@@ -59,7 +59,7 @@
     }
     const pool = `p${Math.min(pools - 1, Math.floor(v / VMS_PER_POOL))}`
     const row: VmRow = { ...base, pool, generation: 2, state: 'active' }
-    put(vmKey(HALL, id), row)
+    putRow(vmKey(HALL, id), row)
     listed.push({ ...base, state: 'live', role: 'worker' })
   }
   for (let p = 0; p < pools; p++) {
@@ -77,7 +77,7 @@
           address: '127.0.0.1:1',
           slots: 8,
         }
-        put(jobKey(HALL, id), row)
+        putRow(jobKey(HALL, id), row)
       }
     }
   }
--- a/bench/hallPlatform.ts
+++ b/bench/hallPlatform.ts
@@ -18,9 +18,9 @@
   /** Writes an INI file; returns its path. */
   writeSettings(hosted: boolean): Promise<string>
   /** Targets that run. */
-  running(): number
+  countRunning(): number
   /** Calls that the platform has served. */
-  calls(): number
+  countCalls(): number
   /** Bytes to and from the platform, as the entry counts them. */
   platformBytes(): Promise<number>
   close(): Promise<void>
@@ -77,8 +77,9 @@
       await writeFile(file, `${lines.join('\n')}\n`)
       return file
     },
-    running: () => fleet.tasks(HALL).filter((task) => task.state === 'running').length,
-    calls: () => [...platform.calls.values()].reduce((sum, count) => sum + count, 0),
+    countRunning: () =>
+      fleet.tasks(HALL).filter((task) => task.state === 'running').length,
+    countCalls: () => [...platform.calls.values()].reduce((sum, count) => sum + count, 0),
     async platformBytes() {
       const text = await (await fetch(`http://${HOST}:${OPS_PORT}/metrics`)).text()
       const values = [...text.matchAll(/^rillshunt_platform_bytes_total\{.*\} (\d+)$/gm)]
--- a/bench/drive.ts
+++ b/bench/loadGenerator.ts
@@ -5,7 +5,7 @@
 import { createRandom, exponential } from '../playground/random.js'
 
 /** What to send. */
-export interface Work {
+export interface RequestSpec {
   origin: string
   path: string
   method: 'GET' | 'POST'
@@ -18,8 +18,8 @@
 export const newHistogram = (): Histogram =>
   build({ highestTrackableValue: MAX_LATENCY_US, numberOfSignificantValueDigits: 3 })
 
-async function send(client: Client, work: Work): Promise<void> {
-  const { path, method, body } = work
+async function send(client: Client, spec: RequestSpec): Promise<void> {
+  const { path, method, body } = spec
   const res = await client.request({ path, method, body })
   await res.body.dump()
   if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`)
@@ -27,28 +27,28 @@
 
 /** Requests a second that so many connections get through, each sending when it is answered. */
 export async function closedLoop(
-  work: Work,
+  spec: RequestSpec,
   connections: number,
   ms: number,
 ): Promise<number> {
   const end = performance.now() + ms
-  let done = 0
-  const one = async () => {
-    const client = new Client(work.origin)
+  let completed = 0
+  const runConnection = async () => {
+    const client = new Client(spec.origin)
     while (performance.now() < end) {
-      await send(client, work)
-      done++
+      await send(client, spec)
+      completed++
     }
     await client.close()
   }
   const startedAt = performance.now()
-  await Promise.all(Array.from({ length: connections }, one))
-  return (done * 1000) / (performance.now() - startedAt)
+  await Promise.all(Array.from({ length: connections }, runConnection))
+  return (completed * 1000) / (performance.now() - startedAt)
 }
 
 /** Times of requests that arrive at a rate, whether or not earlier ones have ended. */
 export async function openLoop(
-  work: Work,
+  spec: RequestSpec,
   connections: number,
   rate: number,
   ms: number,
@@ -56,25 +56,25 @@
 ): Promise<Histogram> {
   const random = createRandom(seed)
   const latency = newHistogram()
-  const idle = Array.from({ length: connections }, () => new Client(work.origin))
-  const all = [...idle]
+  const idleClients = Array.from({ length: connections }, () => new Client(spec.origin))
+  const clients = [...idleClients]
   const pending = new Set<Promise<void>>()
   const startedAt = performance.now()
-  for (let due = 0; due < ms; due += exponential(random, 1000 / rate)) {
-    const wait = startedAt + due - performance.now()
-    if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-    const client = idle.pop()
+  for (let dueMs = 0; dueMs < ms; dueMs += exponential(random, 1000 / rate)) {
+    const waitMs = startedAt + dueMs - performance.now()
+    if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs))
+    const client = idleClients.pop()
     if (!client) continue
     const sentAt = performance.now()
-    const one: Promise<void> = send(client, work).then(() => {
+    const sending: Promise<void> = send(client, spec).then(() => {
       latency.recordValue(Math.round((performance.now() - sentAt) * 1000))
-      idle.push(client)
-      pending.delete(one)
+      idleClients.push(client)
+      pending.delete(sending)
     })
-    pending.add(one)
+    pending.add(sending)
   }
   await Promise.all(pending)
-  await Promise.all(all.map((client) => client.close()))
+  await Promise.all(clients.map((client) => client.close()))
   return latency
 }
 
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -16,19 +16,19 @@
 }
 
 const [name = ''] = process.argv.slice(2)
-const load = BENCHES[name]
-if (!load) {
+const loadBench = BENCHES[name]
+if (!loadBench) {
   console.error(`Usage: npm run bench -- ${Object.keys(BENCHES).join('|')}`)
   process.exit(2)
 }
-const { default: bench } = await load()
+const { default: bench } = await loadBench()
 const results = await bench()
 const commit = execFileSync('git', ['describe', '--always', '--dirty'], {
   encoding: 'utf8',
 }).trim()
 const machine = `${cpus().length} x ${cpus()[0]?.model ?? 'unknown'}, Node ${process.version}`
-const kept = { bench: name, commit, at: new Date().toISOString(), machine, ...results }
+const record = { bench: name, commit, at: new Date().toISOString(), machine, ...results }
 await mkdir('bench/results', { recursive: true })
-await writeFile(`bench/results/${name}.json`, `${JSON.stringify(kept, null, 2)}\n`)
+await writeFile(`bench/results/${name}.json`, `${JSON.stringify(record, null, 2)}\n`)
 console.log(`kept in bench/results/${name}.json (${commit})`)
 process.exit(0)
--- a/bench/node.ts
+++ b/bench/node.ts
@@ -24,13 +24,13 @@
 /** Steps in which the members renew their rows. */
 const RENEWAL_STEPS = 20
 /** Time over which a node is measured, in ms. */
-const MEASURED_MS = 10_000
+const MEASURE_MS = 10_000
 /** Time before the measurement, in ms: starts are over and code is compiled. */
-const SETTLED_MS = 5000
+const WARM_UP_MS = 5000
 /** Load of an owner: jobs a second of one step, state questions a job. */
 const JOBS_PER_S = 15
 const TASKS_PER_JOB = 8
-const QUESTIONS_PER_JOB = 3
+const STATE_READS_PER_JOB = 3
 const TARGETS = 40
 
 /** Processor time that a process has used, in ms. */
@@ -41,7 +41,7 @@
   return ((Number(fields[11]) + Number(fields[12])) * 1000) / CLOCK_TICKS_PER_S
 }
 
-async function untilReady(node: NodeProcess): Promise<void> {
+async function waitUntilReady(node: NodeProcess): Promise<void> {
   for (;;) {
     const res = await request(`http://${node.readiness}/readiness`).catch(() => undefined)
     await res?.body.dump()
@@ -51,7 +51,7 @@
 }
 
 /** Sum of a counter in the metrics of a node. */
-async function bytesOf(metrics: string): Promise<number> {
+async function readCallBytes(metrics: string): Promise<number> {
   const res = await request(metrics)
   const text = await res.body.text()
   return text
@@ -90,33 +90,33 @@
     awayMs: 300,
   })
 
-interface Measured {
+interface Usage {
   /** Processor time, in ms a second. */
   cpuMsPerS: number
   /** Bodies of calls, in bytes a second. */
   bytesPerS: number
 }
 
-async function measure(node: NodeProcess): Promise<Measured> {
-  const seconds = MEASURED_MS / 1000
+async function measure(node: NodeProcess): Promise<Usage> {
+  const seconds = MEASURE_MS / 1000
   const cpuBefore = cpuMs(node)
-  const bytesBefore = await bytesOf(node.metrics)
-  await sleep(MEASURED_MS)
-  const bytes = (await bytesOf(node.metrics)) - bytesBefore
+  const bytesBefore = await readCallBytes(node.metrics)
+  await sleep(MEASURE_MS)
+  const bytes = (await readCallBytes(node.metrics)) - bytesBefore
   return { cpuMsPerS: (cpuMs(node) - cpuBefore) / seconds, bytesPerS: bytes / seconds }
 }
 
 /** A node that owns nothing, because another one owns all, among members. */
-async function idleNode(members: number): Promise<Measured> {
+async function measureIdleNode(members: number): Promise<Usage> {
   const platform = await startPlatform()
   platform.putConfiguration(ONE_QUEUE)
   const timer = renewMembers(platform, members)
   const owner = await startNodeProcess(platform, 'a-owner', 'h1')
-  await untilReady(owner)
-  await sleep(SETTLED_MS / 2)
+  await waitUntilReady(owner)
+  await sleep(WARM_UP_MS / 2)
   const idle = await startNodeProcess(platform, 'b-idle', 'h2')
-  await untilReady(idle)
-  await sleep(SETTLED_MS)
+  await waitUntilReady(idle)
+  await sleep(WARM_UP_MS)
   const measured = await measure(idle)
   await idle.kill()
   await owner.kill()
@@ -126,7 +126,7 @@
 }
 
 /** Hands jobs in at a steady rate and asks for their states. */
-async function load(node: NodeProcess, ms: number): Promise<void> {
+async function sendJobs(node: NodeProcess, ms: number): Promise<void> {
   const headers = { host: QUEUE_HOST, 'content-type': 'application/json' }
   const spec = JSON.stringify({ ms: 300, cpu: 1000 })
   const steps = [{ count: TASKS_PER_JOB, cpu: 1000, estimated_ms: 300 }]
@@ -144,7 +144,7 @@
       )
     calls.push(
       send('POST').then(async () => {
-        for (let each = 0; each < QUESTIONS_PER_JOB; each++) {
+        for (let each = 0; each < STATE_READS_PER_JOB; each++) {
           await sleep(200)
           await send('GET')
         }
@@ -156,42 +156,42 @@
 }
 
 /** An owner under load; callers use another node, so that each question is a call. */
-async function ownerNode(profileDir: string | undefined): Promise<object> {
+async function measureOwner(profileDir: string | undefined): Promise<object> {
   const platform = await startPlatform()
   platform.putConfiguration(ONE_QUEUE)
   const profile = profileDir ? ['--cpu-prof', `--cpu-prof-dir=${profileDir}`] : []
   const owner = await startNodeProcess(platform, 'a-owner', 'h1', {
     program: [...profile, 'dist/src/bin/node.js'],
   })
-  await untilReady(owner)
-  await sleep(SETTLED_MS / 2)
+  await waitUntilReady(owner)
+  await sleep(WARM_UP_MS / 2)
   const front = await startNodeProcess(platform, 'b-front', 'h2')
-  await untilReady(front)
-  await load(front, SETTLED_MS)
-  const quietBefore = cpuMs(owner)
+  await waitUntilReady(front)
+  await sendJobs(front, WARM_UP_MS)
+  const idleCpuBefore = cpuMs(owner)
   await sleep(3000)
-  const quiet = (cpuMs(owner) - quietBefore) / 3
+  const idleCpuMsPerS = (cpuMs(owner) - idleCpuBefore) / 3
   const doneBefore = platform.ledger.entries.filter(({ what }) => what === 'done').length
-  const [measured] = await Promise.all([measure(owner), load(front, MEASURED_MS)])
+  const [measured] = await Promise.all([measure(owner), sendJobs(front, MEASURE_MS)])
   const done =
     platform.ledger.entries.filter(({ what }) => what === 'done').length - doneBefore
-  const tasksPerS = done / (MEASURED_MS / 1000)
+  const tasksPerS = done / (MEASURE_MS / 1000)
   await owner.kill('SIGTERM')
   await front.kill()
   await platform.close()
-  const cpuMsPerTask = (measured.cpuMsPerS - quiet) / tasksPerS
-  return { ...measured, quietCpuMsPerS: quiet, tasksPerS, cpuMsPerTask }
+  const cpuMsPerTask = (measured.cpuMsPerS - idleCpuMsPerS) / tasksPerS
+  return { ...measured, quietCpuMsPerS: idleCpuMsPerS, tasksPerS, cpuMsPerTask }
 }
 
 /** Prints and returns both. */
 export default async function nodeBench(): Promise<object> {
-  const idle: Record<number, Measured> = {}
+  const idle: Record<number, Usage> = {}
   if (process.env['ONLY'] !== 'owner')
     for (const members of MEMBER_COUNTS) {
-      idle[members] = await idleNode(members)
+      idle[members] = await measureIdleNode(members)
       console.log(`idle node among ${members} members`, idle[members])
     }
-  const owner = await ownerNode(process.env['CPU_PROFILE_DIR'])
+  const owner = await measureOwner(process.env['CPU_PROFILE_DIR'])
   console.log('owner', owner)
   return { idle, owner }
 }
--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -20,7 +20,7 @@
 const TASKS_PER_JOB = 8
 const PLANS = 40
 
-function agentOf(index: number): TargetAgent {
+function makeAgent(index: number): TargetAgent {
   const cpu = index % 10 === 0 ? 6000 : 500
   const capacity = { cpu, memMb: 100_000, gpu: 0 }
   return {
@@ -32,13 +32,17 @@
 }
 
 /** Mean time of a plan, in ms. */
-function meanMs(jobCount: number, targetCount: number, looksAtAll: boolean): number {
+function meanPlanMs(
+  jobCount: number,
+  targetCount: number,
+  triesEveryTarget: boolean,
+): number {
   const book = createStillBook()
   for (let each = 0; each < jobCount; each++) {
     const cpu = 2000 + ((each * 379) % 5000)
     book.add(makeJob({ cpu }, [{ count: TASKS_PER_JOB, cpu }]))
   }
-  const agents = Array.from({ length: targetCount }, (_, index) => agentOf(index))
+  const agents = Array.from({ length: targetCount }, (_, index) => makeAgent(index))
   const runTimes = createRunTimes()
   const plan = (): void =>
     void planStarts({
@@ -49,7 +53,7 @@
       penaltyOf: () => 0,
       mayTry: () => false,
       planned: () => undefined,
-      isSpecial: () => looksAtAll,
+      isSpecial: () => triesEveryTarget,
     })
   plan()
   const startedAt = performance.now()
@@ -62,8 +66,8 @@
   const plans = SIZES.map(({ jobs, targets }) => ({
     jobs,
     targets,
-    naiveMs: meanMs(jobs, targets, true),
-    ms: meanMs(jobs, targets, false),
+    naiveMs: meanPlanMs(jobs, targets, true),
+    ms: meanPlanMs(jobs, targets, false),
   }))
   console.table(plans)
   return { plans }
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -13,8 +13,8 @@
 import { commit, createHttpPlatform } from '../src/platform/index.js'
 import type { Child } from './childProcess.js'
 import { startChild } from './childProcess.js'
-import { closedLoop, median, openLoop } from './drive.js'
-import type { Work } from './drive.js'
+import { closedLoop, median, openLoop } from './loadGenerator.js'
+import type { RequestSpec } from './loadGenerator.js'
 
 const CONNECTIONS = 48
 const ROUNDS = 5
@@ -24,7 +24,7 @@
 const LOAD_SHARE = 0.3
 const SEED = 11
 const HALL = 'h'
-const READY = /ready (\S+)/
+const READY_PATTERN = /ready (\S+)/
 const POST_BODY = Buffer.alloc(300, 'y')
 
 interface Relay {
@@ -34,7 +34,7 @@
   path: string
 }
 
-type Method = Work['method']
+type Method = RequestSpec['method']
 
 /** Starts the real entry binary with a platform that announces the target. */
 async function startEntry(
@@ -52,7 +52,7 @@
   return startChild('dist/src/bin/entry.js', ['--config', file], /targetAdded/)
 }
 
-async function announceTarget(platformUrl: string, address: string): Promise<void> {
+async function registerTarget(platformUrl: string, address: string): Promise<void> {
   await acceptTable(platformUrl, {
     'pool/p': { weight: '1', limit: '1' },
     'service/s': { weight: '1', limit: '1000', pool: 'p', slots: '1000' },
@@ -87,7 +87,10 @@
   await platform.close()
 }
 
-const work = (relay: Pick<Relay, 'origin' | 'path'>, method: Method): Work => ({
+const toRequestSpec = (
+  relay: Pick<Relay, 'origin' | 'path'>,
+  method: Method,
+): RequestSpec => ({
   origin: relay.origin,
   path: relay.path,
   method,
@@ -98,25 +101,25 @@
 async function measureThroughput(relays: Relay[], method: Method) {
   const rounds = new Map<string, { rate: number; cpuUs: number }[]>()
   for (const relay of relays)
-    await closedLoop(work(relay, method), CONNECTIONS, WARM_UP_MS)
+    await closedLoop(toRequestSpec(relay, method), CONNECTIONS, WARM_UP_MS)
   for (let round = 0; round < ROUNDS; round++) {
     for (const relay of relays) {
       const before = relay.child.cpuMs()
-      const rate = await closedLoop(work(relay, method), CONNECTIONS, ROUND_MS)
+      const rate = await closedLoop(toRequestSpec(relay, method), CONNECTIONS, ROUND_MS)
       const cpuUs = ((relay.child.cpuMs() - before) * 1e6) / (rate * ROUND_MS)
       rounds.set(relay.name, [...(rounds.get(relay.name) ?? []), { rate, cpuUs }])
     }
   }
-  const base = rounds.get('node')!
+  const baseline = rounds.get('node')!
   return relays.map(({ name }) => {
-    const mine = rounds.get(name)!
+    const samples = rounds.get(name)!
     return {
       name,
       method,
-      rate: Math.round(median(mine.map(({ rate }) => rate))),
-      cpuUs: Math.round(median(mine.map(({ cpuUs }) => cpuUs))),
-      ratio: round2(median(mine.map(({ rate }, i) => rate / base[i]!.rate))),
-      cpuRatio: round2(median(mine.map(({ cpuUs }, i) => base[i]!.cpuUs / cpuUs))),
+      rate: Math.round(median(samples.map(({ rate }) => rate))),
+      cpuUs: Math.round(median(samples.map(({ cpuUs }) => cpuUs))),
+      ratio: round2(median(samples.map(({ rate }, i) => rate / baseline[i]!.rate))),
+      cpuRatio: round2(median(samples.map(({ cpuUs }, i) => baseline[i]!.cpuUs / cpuUs))),
     }
   })
 }
@@ -129,27 +132,28 @@
     for (const relay of relays) {
       const seed = SEED + round
       const histogram = await openLoop(
-        work(relay, method),
+        toRequestSpec(relay, method),
         CONNECTIONS,
         rate,
         LATENCY_MS,
         seed,
       )
-      const at = (percentile: number) => histogram.getValueAtPercentile(percentile) / 1000
-      const sample = { p50: at(50), p99: at(99) }
+      const percentileMs = (percentile: number) =>
+        histogram.getValueAtPercentile(percentile) / 1000
+      const sample = { p50: percentileMs(50), p99: percentileMs(99) }
       rounds.set(relay.name, [...(rounds.get(relay.name) ?? []), sample])
     }
   }
-  const base = rounds.get('node')!
+  const baseline = rounds.get('node')!
   return relays.map(({ name }) => {
-    const mine = rounds.get(name)!
+    const samples = rounds.get(name)!
     return {
       name,
       method,
       rate: Math.round(rate),
-      p50Ms: round2(median(mine.map(({ p50 }) => p50))),
-      p99Ms: round2(median(mine.map(({ p99 }) => p99))),
-      addedP99Ms: round2(median(mine.map(({ p99 }, i) => p99 - base[i]!.p99))),
+      p50Ms: round2(median(samples.map(({ p50 }) => p50))),
+      p99Ms: round2(median(samples.map(({ p99 }) => p99))),
+      addedP99Ms: round2(median(samples.map(({ p99 }, i) => p99 - baseline[i]!.p99))),
     }
   })
 }
@@ -161,21 +165,21 @@
     ledger: new Map(),
   })
   const platform = await startPlatform({ fleet })
-  const target = await startChild('dist/bench/relayTarget.js', [], READY)
-  await announceTarget(platform.url, target.ready)
-  const baseline = (kind: string) =>
-    startChild('dist/bench/relayBaseline.js', [kind, target.ready], READY)
-  const node = await baseline('node')
-  const hono = await baseline('hono')
+  const target = await startChild('dist/bench/relayTarget.js', [], READY_PATTERN)
+  await registerTarget(platform.url, target.readyMatch)
+  const startBaseline = (kind: string) =>
+    startChild('dist/bench/relayBaseline.js', [kind, target.readyMatch], READY_PATTERN)
+  const node = await startBaseline('node')
+  const hono = await startBaseline('hono')
   const entry = await startEntry(platform.url, 'off', 7391)
-  const logging = await startEntry(platform.url, 'on', 7392)
+  const loggingEntry = await startEntry(platform.url, 'on', 7392)
   const relays: Relay[] = [
-    { name: 'node', child: node, origin: `http://${node.ready}`, path: '/x' },
-    { name: 'hono', child: hono, origin: `http://${hono.ready}`, path: '/x' },
+    { name: 'node', child: node, origin: `http://${node.readyMatch}`, path: '/x' },
+    { name: 'hono', child: hono, origin: `http://${hono.readyMatch}`, path: '/x' },
     { name: 'entry', child: entry, origin: 'http://127.0.0.1:7391', path: '/s/x' },
     {
       name: 'entry, a line each',
-      child: logging,
+      child: loggingEntry,
       origin: 'http://127.0.0.1:7392',
       path: '/s/x',
     },
@@ -197,7 +201,7 @@
   const direct = {
     name: 'target',
     child: target,
-    origin: `http://${target.ready}`,
+    origin: `http://${target.readyMatch}`,
     path: '/x',
   }
   const latency = await measureLatency([direct, ...relays], 'GET', baseRate * LOAD_SHARE)
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -4,20 +4,20 @@
  */
 import type { PolicyName } from '../src/entry/index.js'
 import type { TargetBehaviour } from '../playground/target.js'
-import type { Farm, FarmOptions, Stream } from './entryFarm.js'
-import { drive, startFarm } from './entryFarm.js'
+import type { EntryCluster, EntryClusterOptions, Stream } from './entryCluster.js'
+import { runStreams, startEntryCluster } from './entryCluster.js'
 
 const SEED = 21
 const SHAPE = { entries: 6, instances: 8, slots: 8, meanMs: 200, seed: SEED }
 /** Requests a second that the targets can serve. */
-const FULL_RATE = (SHAPE.instances * SHAPE.slots * 1000) / SHAPE.meanMs
+const CAPACITY_PER_S = (SHAPE.instances * SHAPE.slots * 1000) / SHAPE.meanMs
 const POLICY_NAMES: PolicyName[] = [
   'random',
   'roundRobin',
   'twoChoices',
   'twoChoicesReported',
 ]
-const CHOICE_MS = 5000
+const POLICY_RUN_MS = 5000
 const OVERLOAD_MS = 8000
 const OUTAGE_MS = 12_000
 const OUTAGE_FROM_MS = 3000
@@ -32,18 +32,22 @@
   { name: 'one hangs, 50 %', load: 0.5, first: { hangs: true } },
 ]
 
-const ms = (us: number): number => Math.round(us / 100) / 10
+const usToMs = (us: number): number => Math.round(us / 100) / 10
 const round = (value: number, digits = 2): number => Number(value.toFixed(digits))
 
-async function withFarm<T>(
-  over: Partial<FarmOptions>,
-  run: (farm: Farm) => Promise<T>,
+async function withEntryCluster<T>(
+  overrides: Partial<EntryClusterOptions>,
+  measure: (cluster: EntryCluster) => Promise<T>,
 ): Promise<T> {
-  const farm = await startFarm({ ...SHAPE, policy: 'twoChoices', ...over })
+  const cluster = await startEntryCluster({
+    ...SHAPE,
+    policy: 'twoChoices',
+    ...overrides,
+  })
   try {
-    return await run(farm)
+    return await measure(cluster)
   } finally {
-    await farm.stop()
+    await cluster.stop()
   }
 }
 
@@ -53,26 +57,26 @@
   return round(Math.max(...runs) / mean)
 }
 
-async function compareChoices() {
+async function comparePolicies() {
   const rows = []
   for (const { name, load, first } of SCENARIOS) {
     for (const policy of POLICY_NAMES) {
       rows.push(
-        await withFarm({ policy, first }, async (farm) => {
+        await withEntryCluster({ policy, first }, async (cluster) => {
           const headers = { 'rillshunt-deadline-ms': '5000' }
-          const stream = { name, rate: FULL_RATE * load, headers }
-          const [report] = await drive(farm.urls, [stream], CHOICE_MS, SEED)
+          const stream = { name, rate: CAPACITY_PER_S * load, headers }
+          const [report] = await runStreams(cluster.urls, [stream], POLICY_RUN_MS, SEED)
           const { sent, failed, notRun, unknown, latency } = report!
           return {
             scenario: name,
             policy,
             sent,
-            p50Ms: ms(latency.getValueAtPercentile(50)),
-            p99Ms: ms(latency.getValueAtPercentile(99)),
+            p50Ms: usToMs(latency.getValueAtPercentile(50)),
+            p99Ms: usToMs(latency.getValueAtPercentile(99)),
             failed,
             notRun,
             unknown,
-            imbalance: imbalance(farm.runsPerTarget()),
+            imbalance: imbalance(cluster.runsPerTarget()),
           }
         }),
       )
@@ -82,13 +86,17 @@
 }
 
 /** Traffic of two bands; as first come, first served it carries no priority. */
-function bands(total: number, ordered: boolean): Stream[] {
-  const urgentRate = FULL_RATE * 0.1
+function priorityStreams(total: number, sendsPriority: boolean): Stream[] {
+  const urgentRate = CAPACITY_PER_S * 0.1
   const headers = (priority: string): Record<string, string> =>
-    ordered ? { 'rillshunt-priority': priority } : {}
+    sendsPriority ? { 'rillshunt-priority': priority } : {}
   return [
     { name: 'urgent', rate: urgentRate, headers: headers('urgent') },
-    { name: 'normal', rate: FULL_RATE * total - urgentRate, headers: headers('normal') },
+    {
+      name: 'normal',
+      rate: CAPACITY_PER_S * total - urgentRate,
+      headers: headers('normal'),
+    },
   ].map((stream) => ({
     ...stream,
     headers: { ...stream.headers, 'rillshunt-deadline-ms': '3000' },
@@ -97,22 +105,22 @@
 
 async function compareOverload() {
   const rows = []
-  for (const ordered of [true, false]) {
+  for (const sendsPriority of [true, false]) {
     for (const load of [0.5, 2]) {
-      const reports = await withFarm({}, (farm) =>
-        drive(farm.urls, bands(load, ordered), OVERLOAD_MS, SEED),
+      const reports = await withEntryCluster({}, (cluster) =>
+        runStreams(cluster.urls, priorityStreams(load, sendsPriority), OVERLOAD_MS, SEED),
       )
       for (const { name, sent, answered, notRun, unknown, latency } of reports) {
         rows.push({
-          order: ordered ? 'bands and turns' : 'first come, first served',
+          order: sendsPriority ? 'bands and turns' : 'first come, first served',
           load,
           stream: name,
           sent,
           answeredShare: round(answered / sent),
           notRun,
           unknown,
-          p50Ms: ms(latency.getValueAtPercentile(50)),
-          p99Ms: ms(latency.getValueAtPercentile(99)),
+          p50Ms: usToMs(latency.getValueAtPercentile(50)),
+          p99Ms: usToMs(latency.getValueAtPercentile(99)),
         })
       }
     }
@@ -123,29 +131,29 @@
 /** Three teams, of which the first floods: served rates with and without the flood. */
 async function compareFlood() {
   const rows = []
-  for (const ordered of [true, false]) {
+  for (const sendsTeam of [true, false]) {
     for (const flood of [1, 10]) {
       const team = (name: string, factor: number): Stream => ({
         name,
-        rate: FULL_RATE * 0.25 * factor,
+        rate: CAPACITY_PER_S * 0.25 * factor,
         headers: {
           'rillshunt-deadline-ms': '3000',
-          ...(ordered && { 'rillshunt-team': name }),
+          ...(sendsTeam && { 'rillshunt-team': name }),
         },
       })
       const streams = [team('a', flood), team('b', 1), team('c', 1)]
-      const reports = await withFarm({}, (farm) =>
-        drive(farm.urls, streams, OVERLOAD_MS, SEED),
+      const reports = await withEntryCluster({}, (cluster) =>
+        runStreams(cluster.urls, streams, OVERLOAD_MS, SEED),
       )
       for (const { name, sent, answered, latency } of reports) {
         rows.push({
-          order: ordered ? 'bands and turns' : 'first come, first served',
+          order: sendsTeam ? 'bands and turns' : 'first come, first served',
           flood,
           team: name,
           sent,
           servedPerS: round(answered / (OVERLOAD_MS / 1000), 1),
           servedShare: round(answered / sent),
-          p99Ms: ms(latency.getValueAtPercentile(99)),
+          p99Ms: usToMs(latency.getValueAtPercentile(99)),
         })
       }
     }
@@ -153,9 +161,9 @@
   return rows
 }
 
-async function sumAttempts(farm: Farm): Promise<number> {
+async function sumAttempts(cluster: EntryCluster): Promise<number> {
   let sum = 0
-  for (const metrics of farm.metrics) {
+  for (const metrics of cluster.metrics) {
     for (const { value } of (await metrics.attempts.get()).values) sum += value
   }
   return sum
@@ -169,14 +177,14 @@
     ['budget of 0.1', 0.1],
     ['no budget', 1],
   ] as const) {
-    await withFarm({ retryShare }, async (farm) => {
+    await withEntryCluster({ retryShare }, async (cluster) => {
       const headers = { 'rillshunt-deadline-ms': '2000' }
-      const stream = { name, rate: FULL_RATE * 0.6, headers }
-      setTimeout(() => void farm.killAll(), OUTAGE_FROM_MS)
-      setTimeout(() => void farm.startAll(), OUTAGE_TO_MS)
-      const [report] = await drive(farm.urls, [stream], OUTAGE_MS, SEED)
+      const stream = { name, rate: CAPACITY_PER_S * 0.6, headers }
+      setTimeout(() => void cluster.killAll(), OUTAGE_FROM_MS)
+      setTimeout(() => void cluster.startAll(), OUTAGE_TO_MS)
+      const [report] = await runStreams(cluster.urls, [stream], OUTAGE_MS, SEED)
       const { sent, answered, notRun, unknown, halfSeconds } = report!
-      const attempts = await sumAttempts(farm)
+      const attempts = await sumAttempts(cluster)
       rows.push({
         retries: name,
         sent,
@@ -189,7 +197,7 @@
         atS: i / 2,
         answered: slice.answered,
         refused: slice.refused,
-        p99Ms: ms(slice.latency.getValueAtPercentile(99)),
+        p99Ms: usToMs(slice.latency.getValueAtPercentile(99)),
       }))
     })
   }
@@ -197,7 +205,7 @@
 }
 
 export default async function requestsBench(): Promise<object> {
-  const choices = await compareChoices()
+  const choices = await comparePolicies()
   console.table(choices)
   const overload = await compareOverload()
   console.table(overload)
@@ -209,7 +217,7 @@
   return {
     seed: SEED,
     shape: SHAPE,
-    fullRate: FULL_RATE,
+    fullRate: CAPACITY_PER_S,
     choices,
     overload,
     flood,
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -15,7 +15,7 @@
 import type { Ledger } from '../playground/target.js'
 import type { Child } from './childProcess.js'
 import { startChild } from './childProcess.js'
-import { newHistogram } from './drive.js'
+import { newHistogram } from './loadGenerator.js'
 
 const HALLS = ['h1', 'h2', 'h3']
 const ENTRIES_PER_HALL = 2
@@ -23,10 +23,10 @@
 const BASE_PORT = 7500
 const SERVICES = ['timing', 'boards', 'esim']
 const CALLER_TIMEOUT_MS = 10_000
-const FAULT_EVERY_MS = 2500
+const FAULT_INTERVAL_MS = 2500
 const MAX_REPEATS = 3
-const REPEAT_AFTER_MS = 300
-const MEAN_MS = 5
+const REPEAT_DELAY_MS = 300
+const MEAN_SERVICE_MS = 5
 
 interface EntryProcess {
   id: string
@@ -51,7 +51,7 @@
 type Outcome = 'answered' | 'not-run' | 'unknown'
 
 /** Reads `--NAME VALUE` from the command line. */
-function option(name: string, fallback: number): number {
+function readOption(name: string, fallback: number): number {
   const at = process.argv.indexOf(`--${name}`)
   const value = at < 0 ? fallback : Number(process.argv[at + 1])
   if (!Number.isInteger(value) || value < 1)
@@ -61,17 +61,15 @@
 
 async function writeSettings(platformUrl: string): Promise<EntryProcess[]> {
   const dir = await mkdtemp(join(tmpdir(), 'rillshunt-soak-'))
-  const places = HALLS.flatMap((hall, h) =>
+  const nodes = HALLS.flatMap((hall, h) =>
     Array.from({ length: ENTRIES_PER_HALL }, (_, e) => {
       const port = BASE_PORT + h * 100 + e * 10
       return { id: `${hall}-e${e + 1}`, hall, port }
     }),
   )
-  const peers = places.map(
-    ({ id, hall, port }) => `${id} = ${hall} 127.0.0.1:${port + 2}`,
-  )
+  const peers = nodes.map(({ id, hall, port }) => `${id} = ${hall} 127.0.0.1:${port + 2}`)
   return Promise.all(
-    places.map(async ({ id, hall, port }) => {
+    nodes.map(async ({ id, hall, port }) => {
       const file = join(dir, `${id}.ini`)
       const lines = [
         `[node]\nid = ${id}\nhall = ${hall}`,
@@ -101,24 +99,24 @@
     const res = await fetch(`${opsUrl(entry)}/readyz`).catch(() => undefined)
     await res?.text()
     if (res?.status === 200) break
-    await pause(50)
+    await sleep(50)
   }
   entry.ready = true
 }
 
-const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms))
+const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms))
 
 export default async function soakBench(): Promise<object> {
-  const seed = option('seed', 1)
-  const requests = option('requests', 200_000)
-  const rate = option('rate', 1200)
+  const seed = readOption('seed', 1)
+  const requests = readOption('requests', 200_000)
+  const rate = readOption('rate', 1200)
   const random = createRandom(seed)
   const ledger: Ledger = new Map()
   const fleet = createSimFleet({
     host: '127.0.0.1',
     random,
     ledger,
-    behaviour: { meanMs: MEAN_MS },
+    behaviour: { meanMs: MEAN_SERVICE_MS },
   })
   for (const hall of HALLS) {
     for (let n = 0; n < WORKERS_PER_HALL; n++) {
@@ -140,7 +138,7 @@
     fleet.addVm({ id, hall, rack: 'r0', role: 'entry', cpus: 2, memoryGb: 4 })
   }
   await Promise.all(entries.map(startEntry))
-  await pause(6000)
+  await sleep(6000)
 
   const agent = new Agent({ connections: 300, pipelining: 1 })
   const latency = newHistogram()
@@ -153,11 +151,11 @@
     refusedRepeats: 0,
     foreign: 0,
   }
-  const told = new Map<string, { repeatable: boolean; outcomes: Outcome[] }>()
+  const outcomesById = new Map<string, { repeatable: boolean; outcomes: Outcome[] }>()
   const faults: Record<string, number> = {}
   let running = true
 
-  async function call(
+  async function sendRequest(
     entry: EntryProcess,
     service: string,
     id: string,
@@ -192,25 +190,25 @@
     }
   }
 
-  async function one(number: number): Promise<void> {
-    const usable = entries.filter((entry) => entry.ready)
+  async function runRequest(number: number): Promise<void> {
+    const readyEntries = entries.filter((entry) => entry.ready)
     const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)]!
-    const first = pick(usable.length > 0 ? usable : entries)
+    const first = pick(readyEntries.length > 0 ? readyEntries : entries)
     const service = pick(SERVICES)
     const repeatable = random() < 0.5
-    const dated = random() < 0.5
-    const id = dated
+    const hasTimedId = random() < 0.5
+    const id = hasTimedId
       ? `${first.hall}.${Math.floor(Date.now() / 1000)}.${number}`
       : `p-${seed}-${number}`
     const outcomes: Outcome[] = []
-    told.set(id, { repeatable, outcomes })
+    outcomesById.set(id, { repeatable, outcomes })
     tally.sent++
     let entry = first
     for (let attempt = 0; ; attempt++) {
-      const outcome = await call(entry, service, id, repeatable)
+      const outcome = await sendRequest(entry, service, id, repeatable)
       outcomes.push(outcome)
       if (outcome === 'answered' || attempt === MAX_REPEATS) break
-      await pause(REPEAT_AFTER_MS)
+      await sleep(REPEAT_DELAY_MS)
       tally.repeats++
       const ready = entries.filter((each) => each.ready)
       entry = pick(ready.length > 0 ? ready : entries)
@@ -246,12 +244,12 @@
     },
     async outage() {
       platform.faults.outage = true
-      await pause(4000)
+      await sleep(4000)
       platform.faults.outage = false
     },
     async slowness() {
       platform.faults.slowMs = 800
-      await pause(3000)
+      await sleep(3000)
       platform.faults.slowMs = 0
     },
     async lostReplies() {
@@ -259,33 +257,35 @@
     },
     async staleList() {
       platform.faults.listLagMs = 5000
-      await pause(5000)
+      await sleep(5000)
       platform.faults.listLagMs = 0
     },
   }
 
   async function injectFaults(): Promise<void> {
     const names = Object.keys(FAULTS)
-    const under: Promise<void>[] = []
+    const active: Promise<void>[] = []
     while (running) {
       const name = names[Math.floor(random() * names.length)]!
       faults[name] = (faults[name] ?? 0) + 1
-      under.push(FAULTS[name]!())
-      await pause(FAULT_EVERY_MS)
+      active.push(FAULTS[name]!())
+      await sleep(FAULT_INTERVAL_MS)
     }
-    await Promise.all(under)
+    await Promise.all(active)
   }
 
   const injecting = injectFaults()
   const pending = new Set<Promise<void>>()
   const startedAt = performance.now()
-  let due = 0
+  let dueMs = 0
   for (let number = 0; number < requests; number++) {
-    due += exponential(random, 1000 / rate)
-    const wait = startedAt + due - performance.now()
-    if (wait > 0) await pause(wait)
-    const sent: Promise<void> = one(number).finally(() => pending.delete(sent))
-    pending.add(sent)
+    dueMs += exponential(random, 1000 / rate)
+    const wait = startedAt + dueMs - performance.now()
+    if (wait > 0) await sleep(wait)
+    const request: Promise<void> = runRequest(number).finally(() =>
+      pending.delete(request),
+    )
+    pending.add(request)
     if (number % 20_000 === 0)
       console.log(`${number} of ${requests}`, JSON.stringify(tally))
   }
@@ -293,22 +293,23 @@
   running = false
   await injecting
 
-  const check = { doubledUnrepeatable: 0, falseNotRun: 0, answeredButNotRun: 0 }
-  for (const [id, { repeatable, outcomes }] of told) {
+  const violations = { doubledUnrepeatable: 0, falseNotRun: 0, answeredButNotRun: 0 }
+  for (const [id, { repeatable, outcomes }] of outcomesById) {
     const runs = ledger.get(id) ?? 0
-    if (!repeatable && runs > 1) check.doubledUnrepeatable++
-    if (runs > 0 && outcomes.every((each) => each === 'not-run')) check.falseNotRun++
-    if (runs === 0 && outcomes.includes('answered')) check.answeredButNotRun++
+    if (!repeatable && runs > 1) violations.doubledUnrepeatable++
+    if (runs > 0 && outcomes.every((each) => each === 'not-run')) violations.falseNotRun++
+    if (runs === 0 && outcomes.includes('answered')) violations.answeredButNotRun++
   }
-  const at = (percentile: number) => latency.getValueAtPercentile(percentile) / 1000
+  const percentileMs = (percentile: number) =>
+    latency.getValueAtPercentile(percentile) / 1000
   const seconds = Math.round((performance.now() - startedAt) / 1000)
   const result = {
     seed,
     seconds,
     ...tally,
-    ...check,
-    p50Ms: at(50),
-    p99Ms: at(99),
+    ...violations,
+    p50Ms: percentileMs(50),
+    p99Ms: percentileMs(99),
     faults,
   }
   console.log(JSON.stringify(result, null, 2))
--- a/bench/standstill/__tests__/standstill.spec.ts
+++ b/bench/standstill/__tests__/standstill.spec.ts
@@ -1,7 +1,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { readLog } from '../../account/readLog.js'
 import { findStandstills } from '../findStandstills.js'
-import { readCuts } from '../readCuts.js'
+import { findLogGaps } from '../findLogGaps.js'
 
 const START = Date.UTC(2026, 0, 1)
 
@@ -21,7 +21,7 @@
 
 function findAll(...lines: string[]) {
   const text = lines.join('\n')
-  return findStandstills(readLog(text), readCuts(text))
+  return findStandstills(readLog(text), findLogGaps(text))
 }
 const find = (...lines: string[]) => findAll(...lines).standstills
 
@@ -75,12 +75,12 @@
     })
 
     it('names a job of which nothing more is known', (t) => {
-      const { standstills, unsure } = findAll(
+      const { standstills, incomplete } = findAll(
         taken(0, 'j1'),
         lineAt(30, 'targetHeard', { target: 'v1' }),
       )
       t.deepEqual(standstills, [])
-      t.deepEqual(unsure, ['j1'])
+      t.deepEqual(incomplete, ['j1'])
     })
 
     it('is not sure of an open job whose later lines may be lost', (t) => {
@@ -89,10 +89,10 @@
         placed(0, 'j1.0.0.0', 'v1'),
         ended(1, 'j1.0.0.0', 'v1', 'failed'),
       ]
-      const cut = `  2.0 n1 ${taken(2, 'j2').slice(0, 60)}${taken(2, 'j3').slice(20)}`
-      const ofAnother = cut.replace('n1', 'n2')
-      t.is(find(...lines, cut, taken(30, 'j4')).length, 0)
-      t.is(find(...lines, ofAnother, taken(30, 'j4'))[0]?.ms, 29_000)
+      const damaged = `  2.0 n1 ${taken(2, 'j2').slice(0, 60)}${taken(2, 'j3').slice(20)}`
+      const ofAnotherNode = damaged.replace('n1', 'n2')
+      t.is(find(...lines, damaged, taken(30, 'j4')).length, 0)
+      t.is(find(...lines, ofAnotherNode, taken(30, 'j4'))[0]?.ms, 29_000)
     })
 
     it('takes a run whose start is lost for one that ran', (t) => {
--- a/bench/standstill/readCuts.ts
+++ b/bench/standstill/findLogGaps.ts
@@ -1,7 +1,7 @@
 /** Finds where lines of a log are cut or lost. */
 
 /** A place in the log of one node where lines may be missing. */
-export interface Cut {
+export interface LogGap {
   node: string
   /** Wall time, in ms since 1970. */
   at: number
@@ -9,24 +9,24 @@
 
 /** Time and node that a collector of logs has put before a line. */
 const PREFIX = /^\s*-?[\d.]+ (\S+) \{/
-const STAMP = /"timestamp":"([^"]+Z)"/
+const TIMESTAMP = /"timestamp":"([^"]+Z)"/
 
 /** The cuts, in the order of the text; only lines with a node's name in front are judged. */
-export function readCuts(text: string): Cut[] {
-  const cuts: Cut[] = []
+export function findLogGaps(text: string): LogGap[] {
+  const gaps: LogGap[] = []
   const lastAt = new Map<string, number>()
   for (const line of text.split('\n')) {
     const node = PREFIX.exec(line)?.[1]
     if (node === undefined) continue
-    const stamp = STAMP.exec(line)?.[1]
+    const stamp = TIMESTAMP.exec(line)?.[1]
     const at = stamp === undefined ? (lastAt.get(node) ?? 0) : Date.parse(stamp)
     lastAt.set(node, at)
-    if (isCut(line.slice(line.indexOf('{')))) cuts.push({ node, at })
+    if (isDamaged(line.slice(line.indexOf('{')))) gaps.push({ node, at })
   }
-  return cuts
+  return gaps
 }
 
-function isCut(line: string): boolean {
+function isDamaged(line: string): boolean {
   try {
     JSON.parse(line)
     return false
--- a/bench/standstill/findStandstills.ts
+++ b/bench/standstill/findStandstills.ts
@@ -1,9 +1,9 @@
 /** The longest time that each job of a run stood still, and what held it. Pure. */
 import type { LogEvent } from '../account/readLog.js'
-import { followJobs, type JobTrace } from './followJobs.js'
-import { followRoom } from './followRoom.js'
-import type { Cut } from './readCuts.js'
-import { joinSpans, lengthOf, longestOf, overlapOf, type Span } from './spans.js'
+import { traceJobs, type JobTrace } from './traceJobs.js'
+import { traceRoom } from './traceRoom.js'
+import type { LogGap } from './findLogGaps.js'
+import { mergeSpans, spanMs, longestSpan, intersectSpans, type Span } from './spans.js'
 
 /** The longest standstill of one job. */
 export interface Standstill {
@@ -21,45 +21,45 @@
 }
 
 /** Events that say why a job waits. */
-const EXPLAINING = new Set(['taskWaits', 'jobStalled'])
+const EXPLAINING_EVENTS = new Set(['taskWaits', 'jobStalled'])
 
 /** What the logs of a run show. */
 export interface Findings {
   /** The longest with room first. */
   standstills: Standstill[]
   /** Open jobs of which the logs don't tell enough: never started, or lines lost. */
-  unsure: string[]
+  incomplete: string[]
 }
 
 /** Finds the standstills; the events must be sorted. */
-export function findStandstills(events: LogEvent[], cuts: Cut[]): Findings {
-  const room = followRoom(events)
-  const said = events.filter(({ name }) => EXPLAINING.has(name))
+export function findStandstills(events: LogEvent[], gaps: LogGap[]): Findings {
+  const room = traceRoom(events)
+  const explanations = events.filter(({ name }) => EXPLAINING_EVENTS.has(name))
   const logEnd = events.at(-1)?.at ?? 0
-  const traces = followJobs(events, cuts)
+  const traces = traceJobs(events, gaps)
   const standstills = traces.flatMap((trace): Standstill[] => {
-    const waits = overlapOf(joinSpans(trace.still), joinSpans(trace.ready))
-    const longest = longestOf(waits)
+    const waits = intersectSpans(mergeSpans(trace.idle), mergeSpans(trace.ready))
+    const longest = longestSpan(waits)
     if (!longest) return []
-    return [describe(trace, longest, waits, room, said, logEnd)]
+    return [describeStandstill(trace, longest, waits, room, explanations, logEnd)]
   })
   standstills.sort((a, b) => b.withRoomMs - a.withRoomMs || b.ms - a.ms)
-  const unsure = traces.filter(({ isUnsure }) => isUnsure)
-  return { standstills, unsure: unsure.map(({ job }) => job) }
+  const incomplete = traces.filter(({ isIncomplete }) => isIncomplete)
+  return { standstills, incomplete: incomplete.map(({ job }) => job) }
 }
 
-function describe(
-  { job, service, open }: JobTrace,
+function describeStandstill(
+  { job, service, isOpen }: JobTrace,
   longest: Span,
   waits: Span[],
   room: Map<string, Span[]>,
-  said: LogEvent[],
+  explanations: LogEvent[],
   logEnd: number,
 ): Standstill {
-  const withRoom = longestOf(overlapOf(waits, room.get(service) ?? []))
+  const withRoom = longestSpan(intersectSpans(waits, room.get(service) ?? []))
   const reasons = new Map<string, number>()
-  for (const { name, hold, at, job: told } of said) {
-    if (told !== job || at < longest.from || at > longest.until) continue
+  for (const { name, hold, at, job: explainedJob } of explanations) {
+    if (explainedJob !== job || at < longest.from || at > longest.until) continue
     const text = hold ? `${name}: ${hold}` : name
     reasons.set(text, (reasons.get(text) ?? 0) + 1)
   }
@@ -67,9 +67,9 @@
     job,
     service,
     from: longest.from,
-    ms: lengthOf(longest),
-    withRoomMs: withRoom ? lengthOf(withRoom) : 0,
-    unfinished: open && longest.until === logEnd,
+    ms: spanMs(longest),
+    withRoomMs: withRoom ? spanMs(withRoom) : 0,
+    unfinished: isOpen && longest.until === logEnd,
     reasons,
   }
 }
--- a/bench/standstill/main.ts
+++ b/bench/standstill/main.ts
@@ -3,28 +3,28 @@
 import Table from 'cli-table3'
 import { readLog } from '../account/readLog.js'
 import { findStandstills } from './findStandstills.js'
-import { readCuts } from './readCuts.js'
+import { findLogGaps } from './findLogGaps.js'
 
 /** Jobs that are shown unless the caller says otherwise. */
-const SHOWN = 10
+const DEFAULT_COUNT = 10
 
-const [file, count = String(SHOWN)] = process.argv.slice(2)
+const [file, count = String(DEFAULT_COUNT)] = process.argv.slice(2)
 if (file === undefined) {
   console.error('Usage: npm run standstill -- LOG [COUNT]')
   process.exit(2)
 }
 const text = readFileSync(file, 'utf8')
 const events = readLog(text)
-const cuts = readCuts(text)
+const gaps = findLogGaps(text)
 const start = events.find(({ name }) => name === 'jobTaken')?.at ?? 0
-const { standstills, unsure } = findStandstills(events, cuts)
+const { standstills, incomplete } = findStandstills(events, gaps)
 const seconds = (ms: number): string => (ms / 1000).toFixed(1)
 
 const rows = new Table({
   head: ['job', 'service', 'from s', 'stood still s', 'with room s', 'open', 'said'],
 })
 for (const each of standstills.slice(0, Number(count))) {
-  const said = [...each.reasons].map(([reason, times]) => `${times} x ${reason}`)
+  const explanations = [...each.reasons].map(([reason, times]) => `${times} x ${reason}`)
   rows.push([
     each.job,
     each.service,
@@ -32,7 +32,7 @@
     seconds(each.ms),
     seconds(each.withRoomMs),
     each.unfinished ? 'yes' : '',
-    said.join(', '),
+    explanations.join(', '),
   ])
 }
 console.log(rows.toString())
@@ -41,6 +41,6 @@
 const withRoom = standstills[0]?.withRoomMs ?? 0
 console.log(`longest ${seconds(longest)} s, with room ${seconds(withRoom)} s`)
 console.log(`${stalled} x jobStalled`)
-console.log(`${cuts.length} places where lines are lost`)
-if (unsure.length > 0)
-  console.log(`open, and the logs don't say more: ${unsure.join(' ')}`)
+console.log(`${gaps.length} places where lines are lost`)
+if (incomplete.length > 0)
+  console.log(`open, and the logs don't say more: ${incomplete.join(' ')}`)
--- a/bench/standstill/spans.ts
+++ b/bench/standstill/spans.ts
@@ -5,50 +5,50 @@
 }
 
 /** Joins spans that touch; the result is in order. */
-export function joinSpans(spans: Span[]): Span[] {
-  const joined: Span[] = []
+export function mergeSpans(spans: Span[]): Span[] {
+  const merged: Span[] = []
   for (const span of spans.toSorted((a, b) => a.from - b.from)) {
-    const last = joined.at(-1)
+    const last = merged.at(-1)
     if (last && span.from <= last.until) last.until = Math.max(last.until, span.until)
-    else if (span.until > span.from) joined.push({ ...span })
+    else if (span.until > span.from) merged.push({ ...span })
   }
-  return joined
+  return merged
 }
 
 /** What lies in both of two lists of spans. */
-export function overlapOf(some: Span[], others: Span[]): Span[] {
+export function intersectSpans(some: Span[], others: Span[]): Span[] {
   const both = some.flatMap((one) =>
     others.map((other) => ({
       from: Math.max(one.from, other.from),
       until: Math.min(one.until, other.until),
     })),
   )
-  return joinSpans(both.filter(({ from, until }) => until > from))
+  return mergeSpans(both.filter(({ from, until }) => until > from))
 }
 
 /** What lies in some spans and in none of the others; both are joined. */
-export function withoutSpans(some: Span[], others: Span[]): Span[] {
+export function subtractSpans(some: Span[], others: Span[]): Span[] {
   return some.flatMap(({ from, until }) => {
-    const left: Span[] = []
+    const remaining: Span[] = []
     let start = from
     for (const other of others) {
       if (other.until <= start || other.from >= until) continue
-      if (other.from > start) left.push({ from: start, until: other.from })
+      if (other.from > start) remaining.push({ from: start, until: other.from })
       start = other.until
     }
-    if (start < until) left.push({ from: start, until })
-    return left
+    if (start < until) remaining.push({ from: start, until })
+    return remaining
   })
 }
 
 /** The longest of the spans; the first of equals. */
-export function longestOf(spans: Span[]): Span | undefined {
+export function longestSpan(spans: Span[]): Span | undefined {
   let longest: Span | undefined
   for (const span of spans) {
-    if (!longest || lengthOf(span) > lengthOf(longest)) longest = span
+    if (!longest || spanMs(span) > spanMs(longest)) longest = span
   }
   return longest
 }
 
 /** Length of a span, in ms. */
-export const lengthOf = ({ from, until }: Span): number => until - from
+export const spanMs = ({ from, until }: Span): number => until - from
--- a/bench/standstill/followJobs.ts
+++ b/bench/standstill/traceJobs.ts
@@ -3,7 +3,7 @@
  * have lost lines: what isn't known counts as running, so no standstill is made up. Pure.
  */
 import type { LogEvent } from '../account/readLog.js'
-import type { Cut } from './readCuts.js'
+import type { LogGap } from './findLogGaps.js'
 import type { Span } from './spans.js'
 
 /** What the logs say of one job. */
@@ -11,20 +11,20 @@
   job: string
   service: string
   /** Times in which nothing of the job ran, from its taking on to its end. */
-  still: Span[]
+  idle: Span[]
   /** Times in which a task of the job could have started. */
   ready: Span[]
   /** Whether it was open when the logs ended. */
-  open: boolean
+  isOpen: boolean
   /** Whether the logs can't tell what became of it: lines are lost, or it never ran. */
-  isUnsure: boolean
+  isIncomplete: boolean
 }
 
-interface OpenJob extends JobTrace {
+interface TracedJob extends JobTrace {
   /** The node that spoke of it last: its owner. */
   node: string
   /** Since when nothing runs; undefined while something does. */
-  stillSince: number | undefined
+  idleSince: number | undefined
   running: Map<string, number>
   /** Tasks whose last run ended otherwise than done: when, and who said it. */
   failed: Map<string, { at: number; node: string }>
@@ -35,33 +35,33 @@
 export const jobOf = (task: string): string => task.slice(0, task.indexOf('.'))
 
 /** Follows every job that an owner has taken on; the events must be sorted. */
-export function followJobs(events: LogEvent[], cuts: Cut[]): JobTrace[] {
-  const jobs = new Map<string, OpenJob>()
+export function traceJobs(events: LogEvent[], gaps: LogGap[]): JobTrace[] {
+  const jobs = new Map<string, TracedJob>()
   const claimedAt = new Map<string, number>()
   const logEnd = events.at(-1)?.at ?? 0
 
-  const hasCut = (node: string, from: number, until: number): boolean =>
-    cuts.some((cut) => cut.node === node && cut.at >= from && cut.at <= until)
+  const hasGap = (node: string, from: number, until: number): boolean =>
+    gaps.some((gap) => gap.node === node && gap.at >= from && gap.at <= until)
 
-  function endRun(job: OpenJob, task: string, end: LogEvent): void {
+  function endRun(job: TracedJob, task: string, end: LogEvent): void {
     const { at, node } = end
     job.node = node
     if (end.kind !== 'done') job.failed.set(task, { at, node })
     job.running.delete(task)
     job.hasRun = true
     // A run whose start isn't in the logs ran for an unknown part of the time before.
-    if (job.running.size === 0) job.stillSince = at
+    if (job.running.size === 0) job.idleSince = at
   }
 
-  function closeJob(job: OpenJob, at: number): void {
-    if (!job.open) return
-    job.open = false
-    if (job.stillSince !== undefined) job.still.push({ from: job.stillSince, until: at })
+  function closeJob(job: TracedJob, at: number): void {
+    if (!job.isOpen) return
+    job.isOpen = false
+    if (job.idleSince !== undefined) job.idle.push({ from: job.idleSince, until: at })
   }
 
-  function startRun(job: OpenJob, task: string, at: number): void {
-    if (job.stillSince !== undefined) job.still.push({ from: job.stillSince, until: at })
-    job.stillSince = undefined
+  function startRun(job: TracedJob, task: string, at: number): void {
+    if (job.idleSince !== undefined) job.idle.push({ from: job.idleSince, until: at })
+    job.idleSince = undefined
     job.running.set(task, at)
     job.hasRun = true
   }
@@ -69,7 +69,7 @@
   const endTask = (event: LogEvent): void => {
     const { task = '' } = event
     const job = jobs.get(jobOf(task))
-    if (job?.open) endRun(job, task, event)
+    if (job?.isOpen) endRun(job, task, event)
   }
   const endJob = ({ job = '', at }: LogEvent): void => {
     const known = jobs.get(job)
@@ -79,11 +79,11 @@
   const HANDLERS: Record<string, (event: LogEvent) => void> = {
     jobTaken(event) {
       const { job = '' } = event
-      if (!jobs.has(job)) jobs.set(job, openJob(event))
+      if (!jobs.has(job)) jobs.set(job, createTrace(event))
     },
     taskPlaced({ task = '', waitedMs = 0, at, node }) {
       const job = jobs.get(jobOf(task))
-      if (!job?.open) return
+      if (!job?.isOpen) return
       const failed = job.failed.get(task)
       job.failed.delete(task)
       // A new owner knows of no wait before its own time.
@@ -94,7 +94,7 @@
     },
     runAdopted({ task = '', at, node }) {
       const job = jobs.get(jobOf(task))
-      if (!job?.open) return
+      if (!job?.isOpen) return
       job.node = node
       startRun(job, task, at)
     },
@@ -109,13 +109,13 @@
     takeoverDone(event) {
       const { service = '', node, at: until } = event
       const from = claimedAt.get(service) ?? 0
-      if (hasCut(node, from, until)) return
+      if (hasGap(node, from, until)) return
       // Every inherited run is known now, and what was not found has ended unseen.
       for (const job of jobs.values()) {
-        if (!job.open || job.service !== service) continue
+        if (!job.isOpen || job.service !== service) continue
         for (const [task, startedAt] of job.running) {
-          const isGone = startedAt < from && !hasCut(job.node, startedAt, from)
-          if (isGone) endRun(job, task, event)
+          const hasVanished = startedAt < from && !hasGap(job.node, startedAt, from)
+          if (hasVanished) endRun(job, task, event)
         }
       }
     },
@@ -124,31 +124,31 @@
     jobCancelled: endJob,
   }
   for (const event of events) HANDLERS[event.name]?.(event)
-  for (const job of jobs.values()) if (job.open) markUnfinished(job, logEnd, cuts)
+  for (const job of jobs.values()) if (job.isOpen) closeAtLogEnd(job, logEnd, gaps)
   return [...jobs.values()]
 }
 
-const openJob = ({ job = '', service = '', node, at }: LogEvent): OpenJob => ({
+const createTrace = ({ job = '', service = '', node, at }: LogEvent): TracedJob => ({
   job,
   service,
   node,
-  still: [],
+  idle: [],
   ready: [],
-  open: true,
-  isUnsure: false,
-  stillSince: at,
+  isOpen: true,
+  isIncomplete: false,
+  idleSince: at,
   running: new Map(),
   failed: new Map(),
   hasRun: false,
 })
 
 /** Of an open job with nothing running, the tasks that failed are ready. */
-function markUnfinished(job: OpenJob, until: number, cuts: Cut[]): void {
-  const { node, stillSince } = job
-  if (stillSince === undefined) return
-  job.isUnsure =
-    !job.hasRun || cuts.some((cut) => cut.node === node && cut.at >= stillSince)
-  if (job.isUnsure) return
-  job.still.push({ from: stillSince, until })
-  for (const { at } of job.failed.values()) job.ready.push({ from: at, until })
+function closeAtLogEnd(job: TracedJob, logEnd: number, gaps: LogGap[]): void {
+  const { node, idleSince } = job
+  if (idleSince === undefined) return
+  job.isIncomplete =
+    !job.hasRun || gaps.some((gap) => gap.node === node && gap.at >= idleSince)
+  if (job.isIncomplete) return
+  job.idle.push({ from: idleSince, until: logEnd })
+  for (const { at } of job.failed.values()) job.ready.push({ from: at, until: logEnd })
 }
--- a/bench/standstill/followRoom.ts
+++ b/bench/standstill/traceRoom.ts
@@ -1,12 +1,12 @@
 /** When a target of each service stood empty, as far as logs tell. Pure. */
 import type { LogEvent } from '../account/readLog.js'
-import { jobOf } from './followJobs.js'
-import { joinSpans, type Span, withoutSpans } from './spans.js'
+import { jobOf } from './traceJobs.js'
+import { mergeSpans, type Span, subtractSpans } from './spans.js'
 
 /** What runs longer is a task that lasts, and leaves most of its target free; in ms. */
-const LASTING_MS = 25_000
+const LONG_RUNNING_MS = 25_000
 
-interface SeenTarget {
+interface TargetTrace {
   service: string | undefined
   /** Since when it answers and isn't leaving; undefined while it can't be used. */
   usableSince: number | undefined
@@ -14,55 +14,55 @@
   busy: Span[]
   running: Map<string, number>
   /** When a run was last seen to start. */
-  lastStart: number
+  lastStartAt: number
 }
 
 /**
  * Logs name no capacity, so only a target without any task that ends by itself counts as
  * room. It counts from its first task on, since only that tells its service.
  */
-export function followRoom(events: LogEvent[]): Map<string, Span[]> {
+export function traceRoom(events: LogEvent[]): Map<string, Span[]> {
   const serviceOf = new Map<string, string>()
   for (const { job, service } of events) if (job && service) serviceOf.set(job, service)
-  const targets = followTargets(events, serviceOf)
+  const targets = traceTargets(events, serviceOf)
 
   const room = new Map<string, Span[]>()
   for (const { service, usable, busy } of targets) {
     if (service === undefined) continue
-    const short = busy.filter(({ from, until }) => until - from < LASTING_MS)
-    const empty = withoutSpans(joinSpans(usable), joinSpans(short))
+    const short = busy.filter(({ from, until }) => until - from < LONG_RUNNING_MS)
+    const empty = subtractSpans(mergeSpans(usable), mergeSpans(short))
     room.set(service, [...(room.get(service) ?? []), ...empty])
   }
-  return new Map([...room].map(([service, spans]) => [service, joinSpans(spans)]))
+  return new Map([...room].map(([service, spans]) => [service, mergeSpans(spans)]))
 }
 
-function followTargets(
+function traceTargets(
   events: LogEvent[],
   serviceOf: Map<string, string>,
-): Iterable<SeenTarget> {
-  const targets = new Map<string, SeenTarget>()
+): Iterable<TargetTrace> {
+  const targets = new Map<string, TargetTrace>()
   const logEnd = events.at(-1)?.at ?? 0
 
-  const close = (target: SeenTarget, until: number): void => {
+  const close = (target: TargetTrace, until: number): void => {
     if (target.usableSince === undefined) return
     target.usable.push({ from: target.usableSince, until })
     target.usableSince = undefined
   }
-  const start = (target: SeenTarget, { task = '', at }: LogEvent): void => {
+  const start = (target: TargetTrace, { task = '', at }: LogEvent): void => {
     target.service ??= serviceOf.get(jobOf(task))
     target.running.set(task, at)
     target.usableSince ??= at
-    target.lastStart = at
+    target.lastStartAt = at
   }
-  const end = (target: SeenTarget, { task = '', at }: LogEvent): void => {
+  const end = (target: TargetTrace, { task = '', at }: LogEvent): void => {
     // The line of its start may be lost: others of the same moment are known.
-    const from = target.running.get(task) ?? target.lastStart
+    const from = target.running.get(task) ?? target.lastStartAt
     target.busy.push({ from, until: at })
     target.running.delete(task)
   }
-  const endUsable = (target: SeenTarget, { at }: LogEvent): void => close(target, at)
+  const endUsable = (target: TargetTrace, { at }: LogEvent): void => close(target, at)
 
-  const HANDLERS: Record<string, (target: SeenTarget, event: LogEvent) => void> = {
+  const HANDLERS: Record<string, (target: TargetTrace, event: LogEvent) => void> = {
     taskPlaced: start,
     runAdopted: start,
     runEnded: end,
@@ -80,7 +80,7 @@
   for (const event of events) {
     const handler = HANDLERS[event.name]
     if (!handler || event.target === undefined) continue
-    const target = targets.get(event.target) ?? openTarget(event.at)
+    const target = targets.get(event.target) ?? createTrace(event.at)
     targets.set(event.target, target)
     handler(target, event)
   }
@@ -91,11 +91,11 @@
   return targets.values()
 }
 
-const openTarget = (at: number): SeenTarget => ({
+const createTrace = (at: number): TargetTrace => ({
   service: undefined,
   usableSince: undefined,
   usable: [],
   busy: [],
   running: new Map(),
-  lastStart: at,
+  lastStartAt: at,
 })
--- a/scripts/cachedStart.ts
+++ b/scripts/cachedStart.ts
@@ -13,9 +13,9 @@
 holdSignals()
 
 /** Names the file to write compiled code to; set only by the build. */
-const WRITE_VARIABLE = 'RILLSHUNT_WRITE_CODE_CACHE'
+const WRITE_CACHE_VARIABLE = 'RILLSHUNT_WRITE_CODE_CACHE'
 /** Time that the build lets the program run before it keeps what was compiled, in ms. */
-const WRITE_AFTER_MS = 1500
+const CACHE_WRITE_DELAY_MS = 1500
 
 const bundle = join(__dirname, 'rillshunt-node.bundle.cjs')
 
@@ -27,7 +27,7 @@
   }
 }
 
-const writeTo = process.env[WRITE_VARIABLE]
+const writeTo = process.env[WRITE_CACHE_VARIABLE]
 const source = readFileSync(bundle, 'utf8').replace(/^#!.*/, '')
 const script = new Script(
   `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
@@ -41,5 +41,5 @@
   setTimeout(() => {
     writeFileSync(writeTo, script.createCachedData())
     process.exit()
-  }, WRITE_AFTER_MS)
+  }, CACHE_WRITE_DELAY_MS)
 }
--- a/scripts/recordSession.ts
+++ b/scripts/recordSession.ts
@@ -17,7 +17,7 @@
 /** One command, run in the foreground or beside the following ones. */
 interface Step {
   command: string
-  beside?: boolean
+  isBackground?: boolean
   /** Waits until this is in the output of the command, run again and again. */
   until?: RegExp
 }
@@ -25,7 +25,7 @@
 const STEPS: Step[] = [
   { command: `curl -si ${ENTRY}/timing/rank/1` },
   { command: `${RILLSHUNT} table show` },
-  { command: LOAD, beside: true },
+  { command: LOAD, isBackground: true },
   { command: `${RILLSHUNT} table set service/timing limit 48` },
   { command: `${RILLSHUNT} table accept` },
   { command: `${RILLSHUNT} table status`, until: /oslo-1 +2 [\s\S]*oslo-2 +2 / },
@@ -58,10 +58,10 @@
 
 async function record(): Promise<string> {
   const lines: string[] = []
-  let beside: Promise<string> = Promise.resolve('')
+  let backgroundOutput: Promise<string> = Promise.resolve('')
   for (const step of STEPS) {
-    if (step.beside) {
-      beside = run(step.command)
+    if (step.isBackground) {
+      backgroundOutput = run(step.command)
       lines.push(`$ ${step.command} &`, '')
       continue
     }
@@ -71,7 +71,7 @@
       : undefined
     lines.push(...(note ? [note] : []), `$ ${step.command}`, out, '')
   }
-  lines.push('# the load in the background has ended:', await beside)
+  lines.push('# the load in the background has ended:', await backgroundOutput)
   return lines.join('\n')
 }
 
