--- a/bench/account/buildAccount.ts
+++ b/bench/account/buildAccount.ts
@@ -1,33 +1,33 @@
-/** What a run lost by waiting, second by second and by cause. Pure. */
+/** Sums up the waits of tasks in a run, by second and by cause. Pure. */
 import type { LogEvent } from './readLog.js'
 
-/** A task that waited no longer had no cause to; two looks of an owner, in ms. */
+/** Longest wait that is put down to no cause: two check intervals of an owner. */
 const MIN_EXPLAINED_WAIT_MS = 200
-/** A moved VM is there after so long; what waits meanwhile waits for it, in ms. */
+/** Time that the move of a VM takes; a wait in its new pool meanwhile is due to it. */
 const MOVE_MS = 1700
 
-/** Why a task waited. */
+/** Cause of a wait. */
 export type Cause =
   'no owner' | 'takeover' | 'fleet without owner' | 'VMs on the way' | 'no room'
 
 /** One second of a run. */
 export interface SecondStats {
-  /** Seconds since the first job. */
+  /** Seconds since the first job was taken on. */
   at: number
-  /** Jobs taken on, tasks started, and the wait that a tenth of these exceeded, in ms. */
+  /** Jobs taken on, tasks started, and the 90th percentile of their waits, in ms. */
   byService: Map<string, { jobs: number; starts: number; waitMs: number }>
-  /** VMs by pool at its end, among those that an order named so far. */
+  /** VMs by pool when the second begins, of those that are moved in the run. */
   vms: Map<string, number>
-  /** Services with a new owner. */
+  /** Services that a new owner has taken. */
   newOwners: string[]
 }
 
-/** The account of one run. */
+/** The waits of one run. */
 export interface Account {
   seconds: SecondStats[]
-  /** Time that tasks waited, in task-seconds, by cause. */
+  /** Total wait by cause, in task-seconds. */
   waited: Map<Cause, number>
-  /** Jobs that callers were told are not kept, by what the log calls the failure. */
+  /** Number of refused jobs by the `failure` of the log event. */
   refused: Map<string, number>
 }
 
@@ -39,7 +39,7 @@
 const FLEET = '~fleet'
 const OWNERSHIP_END_EVENTS = new Set(['ownershipLost', 'ownershipReleased'])
 
-/** Times in which a service had no owner, or one that did not know all runs yet. */
+/** Times in which a service had no owner, or an owner whose takeover was not complete. */
 function ownerGaps(
   events: LogEvent[],
   service: string,
@@ -68,7 +68,7 @@
 const overlaps = (spans: Span[], from: number, until: number): boolean =>
   spans.some((span) => span.from < until && span.until > from)
 
-/** Builds the account; the events must be sorted. */
+/** Builds the account of a run; the events must be sorted by time. */
 export function buildAccount(events: LogEvent[]): Account {
   const services = [...new Set(events.flatMap(({ service }) => service ?? []))]
   const gaps = new Map(services.map((service) => [service, ownerGaps(events, service)]))
--- a/bench/account/main.ts
+++ b/bench/account/main.ts
@@ -1,4 +1,4 @@
-/** `npm run account -- LOG [SVG]`: what a run lost by waiting, from the logs of its nodes. */
+/** `npm run account -- LOG [SVG]`: shows the waits of tasks in a run and their causes. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import Table from 'cli-table3'
 import { buildAccount } from './buildAccount.js'
--- a/bench/account/plotAccount.ts
+++ b/bench/account/plotAccount.ts
@@ -1,4 +1,4 @@
-/** A picture of an account: waits by service, VMs by pool, changes of owners. */
+/** Plots an account: waits by service, VMs by pool and changes of owners. */
 import { scaleLinear, scaleOrdinal } from 'd3-scale'
 import { line } from 'd3-shape'
 import type { Account, SecondStats } from './buildAccount.js'
@@ -6,7 +6,7 @@
 const WIDTH = 960
 const PANEL_HEIGHT = 200
 const MARGIN = { left: 50, right: 130, top: 24, bottom: 20 }
-/** Seven colours that also differ in print. */
+/** Colours that are told apart in print too. */
 const COLOURS = [
   '#1b6ca8',
   '#c8553d',
@@ -61,13 +61,13 @@
   return [title, ...ticks, ...ownerChanges, ...curves].join('\n')
 }
 
-/** Draws the account as SVG. */
+/** Renders the account as SVG. */
 export function plotAccount({ seconds }: Account): string {
   const services = new Set(seconds.flatMap(({ byService }) => [...byService.keys()]))
   const pools = new Set(seconds.flatMap(({ vms }) => [...vms.keys()]))
   const panels: Panel[] = [
     {
-      title: 'wait that a tenth of the starts exceeded, ms (dashed: a new owner)',
+      title: '90th percentile of waits, ms (dashed: a new owner)',
       names: [...services],
       valueOf: (second, name) => second.byService.get(name)?.waitMs ?? 0,
     },
--- a/bench/account/readLog.ts
+++ b/bench/account/readLog.ts
@@ -1,7 +1,7 @@
-/** Reads the structured logs of all nodes of a run, in whatever order they come. */
+/** Reads the structured logs of all nodes of a run, in any order. */
 import { z } from 'zod'
 
-/** What the readers of logs use of a line; which fields there are depends on the event. */
+/** Fields in use of a log line. Which of the optional ones exist depends on the event. */
 const lineSchema = z.object({
   timestamp: z.iso.datetime(),
   name: z.string(),
@@ -24,16 +24,16 @@
   failure: z.string().optional(),
 })
 
-/** One event of a run. */
+/** A logged event. */
 export type LogEvent = Omit<z.infer<typeof lineSchema>, 'timestamp'> & {
   /** Wall time, in ms since 1970. */
   at: number
 }
 
-/** The events of a text, sorted by time; what is not a line of ours is passed over. */
+/** Parses the events of a text and sorts them by time. Other lines are skipped. */
 export function readLog(text: string): LogEvent[] {
   const events = text.split('\n').flatMap((line): LogEvent[] => {
-    // Lines may carry the time and the node's name in front, and the rest of a cut line.
+    // A line may begin with the time and the node's name, or with the rest of a cut line.
     const brace = Math.max(line.lastIndexOf('{"timestamp"'), line.indexOf('{'))
     if (brace < 0) return []
     const parsed = lineSchema.safeParse(parseOrUndefined(line.slice(brace)))
@@ -48,7 +48,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    // A line that the reader of the logs has cut or mixed with another.
+    // The collector of the logs has cut the line or mixed it with another.
     return undefined
   }
 }
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,7 @@
 /**
- * Slopes for docs/CAPACITY.md: what control costs a process, by VMs, targets and peers.
- * Each part is measured at several sizes and fitted by a line.
+ * Capacity bench: cost of the control plane to a process, by number of VMs, targets and
+ * peers. Each cost is measured at several sizes and fitted by a line; docs/CAPACITY.md
+ * shows the fits.
  */
 import { startCluster } from '../playground/cluster.js'
 import {
@@ -23,18 +24,21 @@
 const SEED = 5
 const VM_COUNTS = [100, 200, 400, 800, 1300, 2600, 5200]
 const ROUNDS = 9
-/** Its table has the pools and services of the size to design for. */
+/** VMs of the hall whose table size is recorded: the size to design for. */
 const DESIGN_VMS = 1300
 const TARGET_COUNTS = [0, 20, 40, 80, 160]
 const ENTRY_COUNTS = [2, 4, 8, 12]
 const MEASURE_MS = 10_000
-/** Time for warm-up, after which an idle process is measured. */
+/** Warm-up before an idle process is measured. */
 const WARM_UP_MS = 10_000
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms))
 const collectGarbage = (globalThis as { gc?: () => void }).gc
 
-/** One round of decisions over an unchanged hall: time in ms, and the heap of its rows. */
+/**
+ * Measures keeper rounds over an unchanged hall: median time and time of the first round,
+ * in ms, and the heap that the rows take, in KB.
+ */
 function measurePlanning() {
   const times: Point[] = []
   const cold: Point[] = []
@@ -77,7 +81,7 @@
   platformBytes: number
 }
 
-/** The real entry binary, idle before so many targets: with the keeper, then without. */
+/** Measures the entry binary, idle, with and then without a hosted keeper. */
 async function measureEntry(targets: number): Promise<{ hosted: Sample; alone: Sample }> {
   const hall = await startHallPlatform(targets, SEED)
   const measureWith = async (hosted: boolean): Promise<Sample> => {
@@ -107,7 +111,7 @@
   return { hosted, alone }
 }
 
-/** Bytes a second that each of so many processes of one hall exchanges with its peers. */
+/** Measures the peer traffic of each of `count` entries in one hall, per second. */
 async function measurePeers(count: number): Promise<{ bytes: number; messages: number }> {
   const cluster = await startCluster({
     halls: ['h'],
--- a/bench/capacityPage.ts
+++ b/bench/capacityPage.ts
@@ -1,7 +1,7 @@
-/** The tables of docs/CAPACITY.md, worked out from the kept results of the capacity bench. */
+/** Renders the tables of docs/CAPACITY.md from the results of the capacity bench. */
 import type { Fit, Point } from './fit.js'
 
-/** The part of the results that the page uses. */
+/** Members of `bench/results/capacity.json` that the page uses. */
 export interface CapacityResults {
   commit: string
   fits: Record<string, Fit>
@@ -21,7 +21,7 @@
   planning: { times: Point[] }
 }
 
-/** The size to design for, from the users' letter, and what we take for the rest. */
+/** Site to design for: sizes required by the users, and assumptions for the others. */
 const DESIGN = {
   workers: 1300,
   halls: 7,
@@ -30,21 +30,21 @@
   acceptsPerDay: 620,
 }
 const DAY_S = 86_400
-/** Syncs with another hall come five times less often. */
+/** Peers of other halls sync five times less often than those of the same hall. */
 const REMOTE_SYNC_SHARE = 0.2
 const LIMIT_CPU_PERCENT = 2
 const LIMIT_MB = 32
 const LIMIT_BYTES_PER_S = 11_000
 const LIMIT_READS_PER_S = 2000
 const LIMIT_WRITES_PER_S = 100
-/** A lease is renewed three times per term of six seconds. */
+/** A keeper renews its lease three times per term of 6 s. */
 const RENEWALS_PER_S = 0.5
 
 const VMS = DESIGN.workers / DESIGN.halls
 const TARGETS = VMS * DESIGN.targetsPerVm
 const ENTRIES = DESIGN.halls * DESIGN.entriesPerHall
 
-/** The value at a size between two measured ones. */
+/** Interpolates linearly between the two measured sizes around `size`. */
 function interpolate(points: readonly Point[], size: number): number {
   const upper = points.findIndex((point) => point.size >= size)
   const [a, b] = [points[upper - 1]!, points[upper]!]
@@ -53,7 +53,7 @@
 
 const valueAt = (fit: Fit, size: number): number =>
   Math.max(0, fit.base + fit.slope * size)
-/** The size at which a line reaches a limit. */
+/** Largest whole size at which the fitted value is within the limit. */
 const maxSizeWithin = (fit: Fit, limit: number): number =>
   Math.floor((limit - fit.base) / fit.slope)
 const formatNumber = (value: number, digits = 1): string => value.toFixed(digits)
@@ -62,7 +62,7 @@
 const formatIsWithin = (value: number, limit: number): string =>
   value <= limit ? 'yes' : '**no**'
 
-/** The block of tables between the page's markers. */
+/** Renders the Markdown that stands between the page's markers. */
 export function renderCapacity(results: CapacityResults): string {
   const { fits } = results
   const fit = (name: string): Fit => fits[name]!
@@ -160,5 +160,5 @@
   return lines.join('\n')
 }
 
-/** Markers around the block in the page. */
+/** Markers in the page; the text between them is generated. */
 export const MARKERS = { begin: '<!-- tables begin -->', end: '<!-- tables end -->' }
--- a/bench/childProcess.ts
+++ b/bench/childProcess.ts
@@ -1,24 +1,25 @@
-/** Child processes of the benches: each says on its output when it is ready. */
+/** Child processes of the benches. A child prints a line when it is ready. */
 import { spawn } from 'node:child_process'
 import { once } from 'node:events'
 import { readFileSync } from 'node:fs'
 
-/** A running child. */
+/** A running child process. */
 export interface Child {
-  /** The text that it printed with its ready line. */
+  /** First group of the ready pattern, or its whole match; empty without a pattern. */
   readyMatch: string
-  /** Resident memory in MB, as the system counts it. */
+  /** Resident set size, in MB. */
   residentMb(): number
-  /** Processor time used so far, in ms. */
+  /** CPU time used so far, in ms. */
   cpuMs(): number
+  /** Sends SIGTERM and waits for the exit. */
   stop(): Promise<void>
-  /** Ends it at once, as a failure would. */
+  /** Sends SIGKILL and waits for the exit. */
   kill(): Promise<void>
 }
 
 const CLOCK_TICKS_PER_S = 100
 
-/** Starts a script of this project and, if a pattern is given, waits for a line that matches. */
+/** Starts a script and, if a pattern is given, waits until its output matches. */
 export async function startChild(
   script: string,
   args: string[],
@@ -31,7 +32,9 @@
   const readyMatch = await new Promise<string>((resolve, reject) => {
     let out = ''
     if (!readyPattern) resolve('')
-    child.once('exit', (code) => reject(new Error(`${script} ended with ${code}`)))
+    child.once('exit', (code) =>
+      reject(new Error(`${script} exited with code ${code} before it was ready`)),
+    )
     child.stdout.on('data', (chunk: Buffer) => {
       if (!readyPattern || pattern.test(out)) return
       out += chunk
--- a/bench/entryCluster.ts
+++ b/bench/entryCluster.ts
@@ -1,4 +1,4 @@
-/** Entries before real targets, without keeper or platform, for the requests bench. */
+/** Entries and simulated targets without a keeper or platform, for the requests bench. */
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import type { Histogram } from 'hdr-histogram-js'
@@ -17,7 +17,7 @@
 
 const HOST = '127.0.0.1'
 
-/** Shape of a farm. */
+/** Sizes and behaviour of an entry cluster. */
 export interface EntryClusterOptions {
   entries: number
   instances: number
@@ -25,21 +25,22 @@
   meanMs: number
   policy: PolicyName
   seed: number
-  /** Behaviour of the first instance. */
+  /** Overrides the behaviour of the first target. */
   first?: Partial<TargetBehaviour>
   retryShare?: number
 }
 
-/** Entries and targets. */
+/** Running entries and targets. */
 export interface EntryCluster {
   urls: string[]
   targets: TargetServer[]
   ledger: Ledger
   metrics: Metrics[]
-  /** Requests that each target ran. */
+  /** Number of requests that each target ran. */
   runsPerTarget(): number[]
-  /** Kills all targets, and starts them again at the same addresses. */
+  /** Kills all targets. */
   killAll(): Promise<void>
+  /** Starts all targets again, at the same addresses. */
   startAll(): Promise<void>
   stop(): Promise<void>
 }
@@ -52,7 +53,7 @@
   return port
 }
 
-/** Starts a farm. */
+/** Starts targets, and entries that route to all of them. */
 export async function startEntryCluster(
   opts: EntryClusterOptions,
 ): Promise<EntryCluster> {
@@ -166,7 +167,7 @@
   }
 }
 
-/** One kind of caller in an open loop. */
+/** Requests of one kind, sent in an open loop. */
 export interface Stream {
   name: string
   /** Requests a second. */
@@ -174,7 +175,7 @@
   headers: Record<string, string>
 }
 
-/** What a stream saw. */
+/** Outcomes of the requests of a stream. */
 export interface StreamReport {
   name: string
   sent: number
@@ -183,14 +184,14 @@
   notRun: number
   unknown: number
   latency: Histogram
-  /** Answers and refusals by half second of arrival. */
+  /** By half second of arrival; `refused` counts what is not in `answered`. */
   halfSeconds: { answered: number; refused: number; latency: Histogram }[]
 }
 
 const CALLER_TIMEOUT_MS = 20_000
 const SLICE_MS = 500
 
-/** Drives streams at once, each by a Poisson process of its own. */
+/** Sends all streams at once, each as a Poisson process of its own, for `ms`. */
 export async function runStreams(
   urls: string[],
   streams: Stream[],
--- a/bench/fit.ts
+++ b/bench/fit.ts
@@ -1,14 +1,14 @@
-/** Straight lines through measured points. */
+/** Least-squares fits of measured points. */
 
-/** A least-squares line. */
+/** A fitted line. */
 export interface Fit {
   /** Change per unit of size. */
   slope: number
   /** Value at size 0. */
   base: number
-  /** Part of the variance that the line explains. */
+  /** Coefficient of determination. */
   r2: number
-  /** Largest distance of a point from the line, as a part of the largest value. */
+  /** Largest residual, as a share of the largest absolute value. */
   worst: number
 }
 
@@ -42,7 +42,7 @@
   }
 }
 
-/** Exponent of the power law through the points: 1 is linear. */
+/** Fits a power law and returns its exponent: 1 is linear growth. */
 export function fitExponent(points: readonly Point[]): number {
   const logs = points.map(({ size, value }) => ({
     size: Math.log(size),
--- a/bench/fleetData.ts
+++ b/bench/fleetData.ts
@@ -1,4 +1,4 @@
-/** Rows of a generated hall, behind the same types as the platform's. */
+/** Generates the table, rows and VM list of a hall, in the types of the platform API. */
 import { createRandom } from '../playground/random.js'
 import { jobKey, vmKey } from '../src/fleet/index.js'
 import type { JobRow, VmRow } from '../src/fleet/index.js'
@@ -19,7 +19,7 @@
 const SERVICES_PER_POOL = 2
 const INSTANCES = 8
 
-/** A hall of so many VMs, in which every instance is placed. */
+/** Generates a hall of `vmCount` VMs in which every instance is placed and running. */
 export function generateHall(vmCount: number, seed: number): HallData {
   const random = createRandom(seed)
   const pools = Math.max(1, Math.round(vmCount / VMS_PER_POOL))
--- a/bench/hallPlatform.ts
+++ b/bench/hallPlatform.ts
@@ -1,4 +1,4 @@
-/** A stand-in platform whose rows announce targets, and the settings of an entry before it. */
+/** A simulated platform of one hall, and the settings of an entry that uses it. */
 import { mkdtemp, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -13,20 +13,20 @@
 const TARGETS_PER_VM = 2
 const VM_CPUS = 32
 
-/** A platform with rows for one hall. */
+/** A running platform. */
 export interface HallPlatform {
-  /** Writes an INI file; returns its path. */
+  /** Writes the settings of an entry with or without a keeper; returns the path. */
   writeSettings(hosted: boolean): Promise<string>
-  /** Targets that run. */
+  /** Number of running targets. */
   countRunning(): number
-  /** Calls that the platform has served. */
+  /** Number of calls served so far. */
   countCalls(): number
-  /** Bytes to and from the platform, as the entry counts them. */
+  /** Bytes to and from the platform so far, from the metrics of the entry. */
   platformBytes(): Promise<number>
   close(): Promise<void>
 }
 
-/** Starts a platform with VMs for so many targets, two to a VM; a keeper places them. */
+/** Starts a platform with VMs for `targets` targets, two per VM; a keeper places them. */
 export async function startHallPlatform(
   targets: number,
   seed: number,
--- a/bench/loadGenerator.ts
+++ b/bench/loadGenerator.ts
@@ -1,10 +1,10 @@
-/** Closed and open loops against one address, for benches. */
+/** Closed-loop and open-loop load generators against one origin. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import { Client } from 'undici'
 import { createRandom, exponential } from '../playground/random.js'
 
-/** What to send. */
+/** A request to repeat. */
 export interface RequestSpec {
   origin: string
   path: string
@@ -14,7 +14,7 @@
 
 const MAX_LATENCY_US = 60_000_000
 
-/** A histogram of times in µs. */
+/** Creates a histogram of latencies, in µs. */
 export const newHistogram = (): Histogram =>
   build({ highestTrackableValue: MAX_LATENCY_US, numberOfSignificantValueDigits: 3 })
 
@@ -25,7 +25,7 @@
   if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`)
 }
 
-/** Requests a second that so many connections get through, each sending when it is answered. */
+/** Sends on each connection when the reply has come; returns the requests per second. */
 export async function closedLoop(
   spec: RequestSpec,
   connections: number,
@@ -46,7 +46,11 @@
   return (completed * 1000) / (performance.now() - startedAt)
 }
 
-/** Times of requests that arrive at a rate, whether or not earlier ones have ended. */
+/**
+ * Sends at Poisson arrivals of the given rate per second, whether or not earlier requests
+ * have ended, and returns the latencies. An arrival that finds no idle connection is
+ * dropped.
+ */
 export async function openLoop(
   spec: RequestSpec,
   connections: number,
@@ -78,7 +82,6 @@
   return latency
 }
 
-/** The median of some numbers. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b)
   const middle = Math.floor(sorted.length / 2)
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,9 +1,9 @@
-/** `npm run bench -- NAME`: runs one bench and keeps its results under `bench/results/`. */
+/** `npm run bench -- NAME`: runs a bench and writes its results to `bench/results/`. */
 import { execFileSync } from 'node:child_process'
 import { mkdir, writeFile } from 'node:fs/promises'
 import { cpus } from 'node:os'
 
-/** A bench prints its tables and returns what is kept. */
+/** Prints the tables of a bench and returns the results to write. */
 type Bench = () => Promise<object>
 
 const BENCHES: Record<string, () => Promise<{ default: Bench }>> = {
@@ -30,5 +30,5 @@
 const record = { bench: name, commit, at: new Date().toISOString(), machine, ...results }
 await mkdir('bench/results', { recursive: true })
 await writeFile(`bench/results/${name}.json`, `${JSON.stringify(record, null, 2)}\n`)
-console.log(`kept in bench/results/${name}.json (${commit})`)
+console.log(`results written to bench/results/${name}.json (${commit})`)
 process.exit(0)
--- a/bench/node.ts
+++ b/bench/node.ts
@@ -1,7 +1,7 @@
 /**
- * Processor time and traffic of a node: of one that owns nothing among many others, and of
- * an owner for each task, state question and target. The node is the real program; store,
- * VMs and targets are the stand-in, in this process.
+ * CPU time and traffic of a node: of an idle one, which owns nothing among many other
+ * nodes, and of an owner under load, per task. The node is a separate process of the
+ * deployed program; the store, the VMs and the targets are simulated in this process.
  */
 import { readFileSync } from 'node:fs'
 import { request } from 'undici'
@@ -19,21 +19,21 @@
 import { sleep } from '../src/shared/index.js'
 
 const CLOCK_TICKS_PER_S = 100
-/** Other nodes that an idle node is measured among. */
+/** Numbers of other nodes in the registry while an idle node is measured. */
 const MEMBER_COUNTS = [30, 100, 300]
-/** Steps in which the members renew their rows. */
+/** Batches in which the other nodes renew their rows, per renewal interval. */
 const RENEWAL_STEPS = 20
-/** Time over which a node is measured, in ms. */
+/** Length of a measurement. */
 const MEASURE_MS = 10_000
-/** Time before the measurement, in ms: starts are over and code is compiled. */
+/** Warm-up, after which starts are over and V8 has compiled the code in use. */
 const WARM_UP_MS = 5000
-/** Load of an owner: jobs a second of one step, state questions a job. */
+/** Load of an owner: single-step jobs per second, and requests for the state of each. */
 const JOBS_PER_S = 15
 const TASKS_PER_JOB = 8
 const STATE_READS_PER_JOB = 3
 const TARGETS = 40
 
-/** Processor time that a process has used, in ms. */
+/** CPU time that a process has used, in ms. */
 function cpuMs({ child }: NodeProcess): number {
   const fields = readFileSync(`/proc/${child.pid}/stat`, 'utf8')
     .split(') ')[1]!
@@ -50,7 +50,7 @@
   }
 }
 
-/** Sum of a counter in the metrics of a node. */
+/** Bytes of all calls of a node so far, from its metrics. */
 async function readCallBytes(metrics: string): Promise<number> {
   const res = await request(metrics)
   const text = await res.body.text()
@@ -60,7 +60,7 @@
     .reduce((sum, line) => sum + Number(line.split(' ').at(-1)), 0)
 }
 
-/** Renews the rows of members that take nothing on, until it is stopped. */
+/** Renews the rows of `count` members that own nothing, until the timer is cleared. */
 function renewMembers({ table }: SimPlatform, count: number): NodeJS.Timeout {
   let next = 0
   const perStep = Math.ceil(count / RENEWAL_STEPS)
@@ -91,9 +91,9 @@
   })
 
 interface Usage {
-  /** Processor time, in ms a second. */
+  /** CPU time, in ms per second. */
   cpuMsPerS: number
-  /** Bodies of calls, in bytes a second. */
+  /** Bodies of calls, in bytes per second. */
   bytesPerS: number
 }
 
@@ -106,7 +106,7 @@
   return { cpuMsPerS: (cpuMs(node) - cpuBefore) / seconds, bytesPerS: bytes / seconds }
 }
 
-/** A node that owns nothing, because another one owns all, among members. */
+/** Measures a node that owns nothing, since another node owns every service. */
 async function measureIdleNode(members: number): Promise<Usage> {
   const platform = await startPlatform()
   platform.putConfiguration(ONE_QUEUE)
@@ -125,7 +125,7 @@
   return measured
 }
 
-/** Hands jobs in at a steady rate and asks for their states. */
+/** Submits jobs at a constant rate and requests the state of each several times. */
 async function sendJobs(node: NodeProcess, ms: number): Promise<void> {
   const headers = { host: QUEUE_HOST, 'content-type': 'application/json' }
   const spec = JSON.stringify({ ms: 300, cpu: 1000 })
@@ -155,7 +155,10 @@
   await Promise.all(calls)
 }
 
-/** An owner under load; callers use another node, so that each question is a call. */
+/**
+ * Measures an owner under load. Callers send to another node, so that each request for a
+ * state is a call to the owner.
+ */
 async function measureOwner(profileDir: string | undefined): Promise<object> {
   const platform = await startPlatform()
   platform.putConfiguration(ONE_QUEUE)
@@ -183,7 +186,7 @@
   return { ...measured, quietCpuMsPerS: idleCpuMsPerS, tasksPerS, cpuMsPerTask }
 }
 
-/** Prints and returns both. */
+/** Prints and returns the usage of an idle node and of an owner. */
 export default async function nodeBench(): Promise<object> {
   const idle: Record<number, Usage> = {}
   if (process.env['ONLY'] !== 'owner')
--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -1,6 +1,6 @@
 /**
- * Time of one plan when nearly everything that waits finds no room, as at a peak: with what
- * found no room kept in mind, and with a look at every target for each step.
+ * Time of one planning run at peak load, when almost no waiting task finds room: with the
+ * planner skipping needs that found no room, and with every target tried for each step.
  */
 import { OPEN_POLICY } from '../src/scheduler/placementRules.js'
 import { planStarts } from '../src/scheduler/planner.js'
@@ -11,7 +11,7 @@
 import { createStillBook } from '../test/fixtures.js'
 import { QUEUE, makeJob } from '../test/jobRig.js'
 
-/** Jobs that wait, of eight tasks each, and targets, of which one in ten has some room. */
+/** Numbers of waiting jobs and of targets; one target in ten has room for some tasks. */
 const SIZES = [
   { jobs: 75, targets: 40 },
   { jobs: 300, targets: 100 },
@@ -31,7 +31,7 @@
   } as unknown as TargetAgent
 }
 
-/** Mean time of a plan, in ms. */
+/** Mean time of a planning run, in ms. */
 function meanPlanMs(
   jobCount: number,
   targetCount: number,
@@ -61,7 +61,7 @@
   return (performance.now() - startedAt) / PLANS
 }
 
-/** Prints and returns the times. */
+/** Prints and returns the mean times. */
 export default async function plansBench(): Promise<object> {
   const plans = SIZES.map(({ jobs, targets }) => ({
     jobs,
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,6 +1,6 @@
 /**
- * The entry against two bare relays with no decisions, in one run: throughput, added
- * p50 and p99 at 30 % load, resident memory.
+ * Compares the entry with two minimal HTTP proxies that make no routing decision:
+ * throughput, p50, p99 and added p99 at 30 % load, resident memory.
  */
 import { mkdtemp, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
@@ -36,7 +36,7 @@
 
 type Method = RequestSpec['method']
 
-/** Starts the real entry binary with a platform that announces the target. */
+/** Starts the entry binary and waits until it has found the target. */
 async function startEntry(
   platformUrl: string,
   routing: 'on' | 'off',
@@ -97,7 +97,7 @@
   body: method === 'POST' ? POST_BODY : null,
 })
 
-/** Rounds in turn over all relays, so that a change of the machine's speed meets all. */
+/** Alternates between the relays, so that changes of machine speed affect all of them. */
 async function measureThroughput(relays: Relay[], method: Method) {
   const rounds = new Map<string, { rate: number; cpuUs: number }[]>()
   for (const relay of relays)
@@ -192,7 +192,7 @@
     ...(await measureThroughput(relays, 'POST')),
   ]
   console.log(
-    `closed loop, ${CONNECTIONS} connections, 300-byte answers, medians of ${ROUNDS} rounds`,
+    `closed loop: ${CONNECTIONS} connections, 300-byte replies, medians of ${ROUNDS} rounds`,
   )
   console.table(throughput)
   const baseRate = throughput.find(
@@ -205,7 +205,9 @@
     path: '/x',
   }
   const latency = await measureLatency([direct, ...relays], 'GET', baseRate * LOAD_SHARE)
-  console.log(`open loop at ${LOAD_SHARE} of the node relay's throughput, seed ${SEED}`)
+  console.log(
+    `open loop: ${LOAD_SHARE} times the throughput of the node relay, seed ${SEED}`,
+  )
   console.table(latency)
   const memory = relays.map(({ name, child }) => ({
     name,
--- a/bench/relayBaseline.ts
+++ b/bench/relayBaseline.ts
@@ -1,6 +1,6 @@
 /**
- * Child of the relay bench: a bare relay with no decisions. `node` pipes Node streams,
- * `hono` returns a `Response` around undici's body.
+ * Child process of the relay bench: a proxy that makes no routing decision. `node` pipes
+ * Node.js streams, `hono` returns a `Response` around the body from undici.
  */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
--- a/bench/relayTarget.ts
+++ b/bench/relayTarget.ts
@@ -1,4 +1,4 @@
-/** Child of the relay bench: a target that answers 300 bytes at once. */
+/** Child process of the relay bench: a target that replies with 300 bytes at once. */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests under load and faults: choosing a target, overload, and a total outage of the
- * targets, each against a baseline in the same run.
+ * Requests under load and faults: balancing policies, overload, one team that floods, and
+ * an outage of all targets, each compared with a baseline in the same run.
  */
 import type { PolicyName } from '../src/entry/index.js'
 import type { TargetBehaviour } from '../playground/target.js'
@@ -9,7 +9,7 @@
 
 const SEED = 21
 const SHAPE = { entries: 6, instances: 8, slots: 8, meanMs: 200, seed: SEED }
-/** Requests a second that the targets can serve. */
+/** Requests per second that all targets together can serve. */
 const CAPACITY_PER_S = (SHAPE.instances * SHAPE.slots * 1000) / SHAPE.meanMs
 const POLICY_NAMES: PolicyName[] = [
   'random',
@@ -51,7 +51,7 @@
   }
 }
 
-/** How uneven the runs are: the largest over the mean. */
+/** Largest number of runs on a target over the mean. */
 function imbalance(runs: number[]): number {
   const mean = runs.reduce((a, b) => a + b, 0) / runs.length
   return round(Math.max(...runs) / mean)
@@ -85,7 +85,7 @@
   return rows
 }
 
-/** Traffic of two bands; as first come, first served it carries no priority. */
+/** An urgent and a normal stream; without priorities, both are served in FIFO order. */
 function priorityStreams(total: number, sendsPriority: boolean): Stream[] {
   const urgentRate = CAPACITY_PER_S * 0.1
   const headers = (priority: string): Record<string, string> =>
@@ -128,7 +128,7 @@
   return rows
 }
 
-/** Three teams, of which the first floods: served rates with and without the flood. */
+/** Compares served rates of three teams while the first sends 1 or 10 times its share. */
 async function compareFlood() {
   const rows = []
   for (const sendsTeam of [true, false]) {
@@ -169,7 +169,7 @@
   return sum
 }
 
-/** All targets are gone for three seconds; the naive version retries without a budget. */
+/** An outage of all targets for 3 s, with and without a budget for retries. */
 async function compareOutage() {
   const rows: object[] = []
   const curves: Record<string, object[]> = {}
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,7 +1,8 @@
 /**
- * A soak: many requests through six entry processes in three halls while VMs crash,
- * entries are killed or replaced, and the platform goes away. What targets ran is held
- * against what callers were told. Callers repeat what ended as unknown, under its id.
+ * Soak test of the entries: requests through six entry processes in three halls while VMs
+ * crash, entries are killed or replaced and the platform fails. A request that isn't
+ * answered is repeated under its id. Finally the runs that targets counted are compared
+ * with the outcomes that callers received.
  */
 import { mkdtemp, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
@@ -34,7 +35,7 @@
   url: string
   file: string
   child: Child | undefined
-  /** Callers are sent here, as a balancer would by /readyz. */
+  /** Whether callers use it, as a load balancer decides by /readyz. */
   ready: boolean
 }
 
@@ -50,12 +51,12 @@
 
 type Outcome = 'answered' | 'not-run' | 'unknown'
 
-/** Reads `--NAME VALUE` from the command line. */
+/** Reads `--NAME VALUE` from the command line; the value is an integer of at least 1. */
 function readOption(name: string, fallback: number): number {
   const at = process.argv.indexOf(`--${name}`)
   const value = at < 0 ? fallback : Number(process.argv[at + 1])
   if (!Number.isInteger(value) || value < 1)
-    throw new Error(`--${name}: a whole number from 1`)
+    throw new Error(`--${name} must be an integer of at least 1`)
   return value
 }
 
@@ -76,8 +77,8 @@
         `[listen]\nport = ${port}\nops_port = ${port + 1}\npeer_port = ${port + 2}`,
         `[platform]\nurl = ${platformUrl}\npoll = 500ms`,
         `[peers]\n${peers.join('\n')}`,
-        // Entries are killed far more often than in the field, and callers repeat within
-        // seconds, so the memory is shorter in proportion.
+        // Entries are killed far more often than in production, and callers repeat within
+        // seconds, so request ids are remembered for a shorter time in proportion.
         '[requests]\ndrain_notice = 500ms\nonce_memory = 15s',
         '[keeper]\nhosted = yes\nlease = 3s\ncycle = 500ms',
         '[log]\nlevel = warn\nrouting = off',
@@ -287,7 +288,7 @@
     )
     pending.add(request)
     if (number % 20_000 === 0)
-      console.log(`${number} of ${requests}`, JSON.stringify(tally))
+      console.log(`sent ${number} of ${requests} requests`, JSON.stringify(tally))
   }
   await Promise.all(pending)
   running = false
--- a/bench/standstill/findLogGaps.ts
+++ b/bench/standstill/findLogGaps.ts
@@ -1,4 +1,4 @@
-/** Finds where lines of a log are cut or lost. */
+/** Finds places in a log where lines are damaged or lost. */
 
 /** A place in the log of one node where lines may be missing. */
 export interface LogGap {
@@ -7,11 +7,11 @@
   at: number
 }
 
-/** Time and node that a collector of logs has put before a line. */
+/** Time and name of the node, which a log collector prepends to a line. */
 const PREFIX = /^\s*-?[\d.]+ (\S+) \{/
 const TIMESTAMP = /"timestamp":"([^"]+Z)"/
 
-/** The cuts, in the order of the text; only lines with a node's name in front are judged. */
+/** Finds gaps, in the order of the text. Lines without a prepended node are skipped. */
 export function findLogGaps(text: string): LogGap[] {
   const gaps: LogGap[] = []
   const lastAt = new Map<string, number>()
@@ -31,7 +31,7 @@
     JSON.parse(line)
     return false
   } catch {
-    // What is not JSON is the rest of a line, or of two.
+    // The rest of a line, or two lines run together.
     return true
   }
 }
--- a/bench/standstill/findStandstills.ts
+++ b/bench/standstill/findStandstills.ts
@@ -1,4 +1,7 @@
-/** The longest time that each job of a run stood still, and what held it. Pure. */
+/**
+ * Finds the longest standstill of each job of a run, and the reasons that were logged. A
+ * standstill is a time in which a task of the job was ready and none ran. Pure.
+ */
 import type { LogEvent } from '../account/readLog.js'
 import { traceJobs, type JobTrace } from './traceJobs.js'
 import { traceRoom } from './traceRoom.js'
@@ -9,29 +12,29 @@
 export interface Standstill {
   job: string
   service: string
-  /** Start and length, in ms. */
+  /** Start, in ms since 1970, and length, in ms. */
   from: number
   ms: number
-  /** The longest part of any standstill of the job in which a target had room, in ms. */
+  /** Longest part of any standstill of the job in which a target had room, in ms. */
   withRoomMs: number
-  /** Whether it lasted to the end of the logs. */
+  /** Whether it lasted until the logs end. */
   unfinished: boolean
-  /** What the owner said of it meanwhile, by how often. */
+  /** How often each reason was logged for the job in this time. */
   reasons: Map<string, number>
 }
 
-/** Events that say why a job waits. */
+/** Events that give a reason for the wait of a job. */
 const EXPLAINING_EVENTS = new Set(['taskWaits', 'jobStalled'])
 
-/** What the logs of a run show. */
+/** Result of the analysis. */
 export interface Findings {
-  /** The longest with room first. */
+  /** Sorted by `withRoomMs`, then by `ms`, longest first. */
   standstills: Standstill[]
-  /** Open jobs of which the logs don't tell enough: never started, or lines lost. */
+  /** Open jobs that never started, or whose later log lines may be lost. */
   incomplete: string[]
 }
 
-/** Finds the standstills; the events must be sorted. */
+/** Finds the longest standstill of each job; the events must be sorted by time. */
 export function findStandstills(events: LogEvent[], gaps: LogGap[]): Findings {
   const room = traceRoom(events)
   const explanations = events.filter(({ name }) => EXPLAINING_EVENTS.has(name))
--- a/bench/standstill/main.ts
+++ b/bench/standstill/main.ts
@@ -1,11 +1,11 @@
-/** `npm run standstill -- LOG [COUNT]`: the jobs that stood still longest, from the logs of all nodes. */
+/** `npm run standstill -- LOG [COUNT]`: shows the longest standstills of a run. */
 import { readFileSync } from 'node:fs'
 import Table from 'cli-table3'
 import { readLog } from '../account/readLog.js'
 import { findStandstills } from './findStandstills.js'
 import { findLogGaps } from './findLogGaps.js'
 
-/** Jobs that are shown unless the caller says otherwise. */
+/** Number of jobs that are shown by default. */
 const DEFAULT_COUNT = 10
 
 const [file, count = String(DEFAULT_COUNT)] = process.argv.slice(2)
@@ -21,7 +21,7 @@
 const seconds = (ms: number): string => (ms / 1000).toFixed(1)
 
 const rows = new Table({
-  head: ['job', 'service', 'from s', 'stood still s', 'with room s', 'open', 'said'],
+  head: ['job', 'service', 'from s', 'standstill s', 'with room s', 'open', 'said'],
 })
 for (const each of standstills.slice(0, Number(count))) {
   const explanations = [...each.reasons].map(([reason, times]) => `${times} x ${reason}`)
@@ -41,6 +41,6 @@
 const withRoom = standstills[0]?.withRoomMs ?? 0
 console.log(`longest ${seconds(longest)} s, with room ${seconds(withRoom)} s`)
 console.log(`${stalled} x jobStalled`)
-console.log(`${gaps.length} places where lines are lost`)
+console.log(`${gaps.length} gaps in the logs`)
 if (incomplete.length > 0)
-  console.log(`open, and the logs don't say more: ${incomplete.join(' ')}`)
+  console.log(`open jobs with incomplete logs: ${incomplete.join(' ')}`)
--- a/bench/standstill/spans.ts
+++ b/bench/standstill/spans.ts
@@ -1,10 +1,10 @@
-/** Spans of time, in ms since 1970. */
+/** A span of time, in ms since 1970. */
 export interface Span {
   from: number
   until: number
 }
 
-/** Joins spans that touch; the result is in order. */
+/** Merges spans that overlap or touch; the result is sorted. */
 export function mergeSpans(spans: Span[]): Span[] {
   const merged: Span[] = []
   for (const span of spans.toSorted((a, b) => a.from - b.from)) {
@@ -15,7 +15,7 @@
   return merged
 }
 
-/** What lies in both of two lists of spans. */
+/** Returns the parts that lie in spans of both lists, merged. */
 export function intersectSpans(some: Span[], others: Span[]): Span[] {
   const both = some.flatMap((one) =>
     others.map((other) => ({
@@ -26,7 +26,7 @@
   return mergeSpans(both.filter(({ from, until }) => until > from))
 }
 
-/** What lies in some spans and in none of the others; both are joined. */
+/** Returns the parts of `some` that are in none of `others`; both must be merged. */
 export function subtractSpans(some: Span[], others: Span[]): Span[] {
   return some.flatMap(({ from, until }) => {
     const remaining: Span[] = []
@@ -41,7 +41,7 @@
   })
 }
 
-/** The longest of the spans; the first of equals. */
+/** Returns the longest span, the first one of equals. */
 export function longestSpan(spans: Span[]): Span | undefined {
   let longest: Span | undefined
   for (const span of spans) {
--- a/bench/standstill/traceJobs.ts
+++ b/bench/standstill/traceJobs.ts
@@ -1,40 +1,42 @@
 /**
- * When each job of a run had nothing running, and when a task of it was ready. Logs may
- * have lost lines: what isn't known counts as running, so no standstill is made up. Pure.
+ * Finds when no task of a job ran and when a task of it was ready. Log lines may be lost:
+ * a time of which nothing is known counts as running, so that no standstill is reported
+ * that did not happen. Pure.
  */
 import type { LogEvent } from '../account/readLog.js'
 import type { LogGap } from './findLogGaps.js'
 import type { Span } from './spans.js'
 
-/** What the logs say of one job. */
+/** Times of one job, from the logs. */
 export interface JobTrace {
   job: string
   service: string
-  /** Times in which nothing of the job ran, from its taking on to its end. */
+  /** Times in which no task ran, between the acceptance of the job and its end. */
   idle: Span[]
-  /** Times in which a task of the job could have started. */
+  /** Times in which a task was ready to start. */
   ready: Span[]
-  /** Whether it was open when the logs ended. */
+  /** Whether the job had not ended when the logs end. */
   isOpen: boolean
-  /** Whether the logs can't tell what became of it: lines are lost, or it never ran. */
+  /** Whether the state of an open job is unknown: it never ran, or lines may be lost. */
   isIncomplete: boolean
 }
 
 interface TracedJob extends JobTrace {
-  /** The node that spoke of it last: its owner. */
+  /** The node that logged it last: its owner. */
   node: string
-  /** Since when nothing runs; undefined while something does. */
+  /** Start of the time without a running task; undefined while a task runs. */
   idleSince: number | undefined
+  /** Start of each running task. */
   running: Map<string, number>
-  /** Tasks whose last run ended otherwise than done: when, and who said it. */
+  /** Tasks whose last run did not end as done: time, and the node that logged it. */
   failed: Map<string, { at: number; node: string }>
   hasRun: boolean
 }
 
-/** The job's id in a task's name. */
+/** Returns the job id that a task id begins with. */
 export const jobOf = (task: string): string => task.slice(0, task.indexOf('.'))
 
-/** Follows every job that an owner has taken on; the events must be sorted. */
+/** Traces every job that an owner has taken on; the events must be sorted by time. */
 export function traceJobs(events: LogEvent[], gaps: LogGap[]): JobTrace[] {
   const jobs = new Map<string, TracedJob>()
   const claimedAt = new Map<string, number>()
@@ -49,7 +51,8 @@
     if (end.kind !== 'done') job.failed.set(task, { at, node })
     job.running.delete(task)
     job.hasRun = true
-    // A run whose start isn't in the logs ran for an unknown part of the time before.
+    // If the start was not logged, the run took an unknown part of the time before, which
+    // is therefore not counted as idle.
     if (job.running.size === 0) job.idleSince = at
   }
 
@@ -86,7 +89,7 @@
       if (!job?.isOpen) return
       const failed = job.failed.get(task)
       job.failed.delete(task)
-      // A new owner knows of no wait before its own time.
+      // The wait that a new owner logs begins with its ownership, not with the failure.
       const failedAt = failed && failed.node !== node ? failed.at : at
       job.ready.push({ from: Math.min(failedAt, at - waitedMs), until: at })
       job.node = node
@@ -102,7 +105,7 @@
     runVanished: endTask,
     startRefused: endTask,
     startFailed(event) {
-      // An order without an answer may have been carried out.
+      // A start order without an answer may have been carried out.
       if (event.failure !== 'unanswered') endTask(event)
     },
     ownershipTaken: ({ service = '', at }) => void claimedAt.set(service, at),
@@ -110,7 +113,8 @@
       const { service = '', node, at: until } = event
       const from = claimedAt.get(service) ?? 0
       if (hasGap(node, from, until)) return
-      // Every inherited run is known now, and what was not found has ended unseen.
+      // A takeover finds every run that still exists. Any other run has ended without an
+      // event.
       for (const job of jobs.values()) {
         if (!job.isOpen || job.service !== service) continue
         for (const [task, startedAt] of job.running) {
@@ -142,7 +146,7 @@
   hasRun: false,
 })
 
-/** Of an open job with nothing running, the tasks that failed are ready. */
+/** Ends the times of an open job with the logs; its failed tasks are ready until then. */
 function closeAtLogEnd(job: TracedJob, logEnd: number, gaps: LogGap[]): void {
   const { node, idleSince } = job
   if (idleSince === undefined) return
--- a/bench/standstill/traceRoom.ts
+++ b/bench/standstill/traceRoom.ts
@@ -1,25 +1,26 @@
-/** When a target of each service stood empty, as far as logs tell. Pure. */
+/** Finds when a target of each service had room, from the logs. Pure. */
 import type { LogEvent } from '../account/readLog.js'
 import { jobOf } from './traceJobs.js'
 import { mergeSpans, type Span, subtractSpans } from './spans.js'
 
-/** What runs longer is a task that lasts, and leaves most of its target free; in ms. */
+/** A task that runs this long is a lasting one, which leaves most of its target free. */
 const LONG_RUNNING_MS = 25_000
 
 interface TargetTrace {
   service: string | undefined
-  /** Since when it answers and isn't leaving; undefined while it can't be used. */
+  /** Since when it answers and is not leaving; undefined while it is not usable. */
   usableSince: number | undefined
   usable: Span[]
   busy: Span[]
   running: Map<string, number>
-  /** When a run was last seen to start. */
+  /** Time of the last start on the target. */
   lastStartAt: number
 }
 
 /**
- * Logs name no capacity, so only a target without any task that ends by itself counts as
- * room. It counts from its first task on, since only that tells its service.
+ * Returns the times with room, by service. The logs don't contain capacities, so only a
+ * target without a finite task counts as room. It counts from its first task on, which
+ * tells its service.
  */
 export function traceRoom(events: LogEvent[]): Map<string, Span[]> {
   const serviceOf = new Map<string, string>()
@@ -55,7 +56,8 @@
     target.lastStartAt = at
   }
   const end = (target: TargetTrace, { task = '', at }: LogEvent): void => {
-    // The line of its start may be lost: others of the same moment are known.
+    // If its start was not logged, the last logged start on the target is used: tasks are
+    // often started on a target at the same moment.
     const from = target.running.get(task) ?? target.lastStartAt
     target.busy.push({ from, until: at })
     target.running.delete(task)
