--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles `rillshunt-node` into one file, so that a start reads one file and not hundreds,
- * and keeps the code that V8 compiles for a start beside it.
+ * Bundles `rillshunt-node` into one file, so that a start reads one file instead of
+ * hundreds, and writes the V8 code cache of a start next to it.
  */
 import { spawnSync } from 'node:child_process'
 import { rmSync, writeFileSync } from 'node:fs'
@@ -15,11 +15,11 @@
   target: 'node20',
   format: 'cjs',
 }
-/** Flags of the program in deploy/system.toml: V8 takes compiled code only under the same. */
+/** Flags of the program in deploy/system.toml: V8 rejects a code cache of other flags. */
 const V8_FLAGS = ['--max-old-space-size=200', '--max-semi-space-size=16']
-/** Longest time that the program may take to write its compiled code, in ms. */
-const RUN_LIMIT_MS = 20_000
-/** Settings of a node that reaches nothing. */
+/** Time-out of the run that writes the code cache. */
+const CACHE_RUN_TIMEOUT_MS = 20_000
+/** Settings of a node whose store and cloud are unreachable. */
 const SETTINGS = `
 [node]
 id = n1
@@ -57,7 +57,13 @@
 const args = [...V8_FLAGS, join(outdir, 'rillshunt-node.cjs'), settings]
 const env = { ...process.env, RILLSHUNT_WRITE_CODE_CACHE: cache }
 const stdio = ['ignore', 'ignore', 'inherit']
-const res = spawnSync(process.execPath, args, { env, stdio, timeout: RUN_LIMIT_MS })
+const res = spawnSync(process.execPath, args, {
+  env,
+  stdio,
+  timeout: CACHE_RUN_TIMEOUT_MS,
+})
 rmSync(settings)
 if (res.status !== 0)
-  process.stderr.write('no compiled code is kept; starts are slower\n')
+  process.stderr.write(
+    'failed to write the V8 code cache; each start will compile the bundle\n',
+  )
--- a/scripts/cachedStart.ts
+++ b/scripts/cachedStart.ts
@@ -1,7 +1,7 @@
 /**
- * Starts the bundle with code that V8 compiled earlier: parsing and compiling are a third
- * of the processor time of a start. Without the file, or with one of another Node.js
- * version or of other flags, V8 compiles as usual.
+ * Starts the bundle with a V8 code cache: parsing and compiling take a third of the CPU
+ * time of a start. Without the cache file, or with one of another Node.js version or of
+ * other flags, V8 compiles the bundle as usual.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
@@ -9,12 +9,13 @@
 import { Script } from 'node:vm'
 import { holdSignals } from '../src/bin/signals.js'
 
-// From the beginning: reading and compiling the bundle takes most of a start.
+// Reading and compiling the bundle takes most of a start, and a signal without a handler
+// would end the process.
 holdSignals()
 
-/** Names the file to write compiled code to; set only by the build. */
+/** Environment variable with the path to write the cache to; set only by the build. */
 const WRITE_CACHE_VARIABLE = 'RILLSHUNT_WRITE_CODE_CACHE'
-/** Time that the build lets the program run before it keeps what was compiled, in ms. */
+/** Time that the program runs, and compiles code, before the cache is written. */
 const CACHE_WRITE_DELAY_MS = 1500
 
 const bundle = join(__dirname, 'rillshunt-node.bundle.cjs')
@@ -33,7 +34,8 @@
   `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
   { filename: bundle, cachedData: writeTo === undefined ? readCache() : undefined },
 )
-if (script.cachedDataRejected) process.stderr.write('compiled code does not fit\n')
+if (script.cachedDataRejected)
+  process.stderr.write('V8 rejected the code cache; compiling the bundle instead\n')
 const load = script.runInThisContext() as (...args: unknown[]) => void
 const module = { exports: {} }
 load(module.exports, createRequire(bundle), module, bundle, dirname(bundle))
--- a/scripts/recordSession.ts
+++ b/scripts/recordSession.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the session of docs/getting-started.md against the playground and writes what it
- * printed between the page's markers.
+ * Runs the commands of docs/getting-started.md against the playground and writes them,
+ * with their output, between the page's markers.
  */
 import { spawn } from 'node:child_process'
 import { readFile, writeFile } from 'node:fs/promises'
@@ -14,11 +14,11 @@
 const RILLSHUNT = 'npx rillshunt'
 const LOAD = `npm run -s load -- --url ${ENTRY} --url http://127.0.0.1:7210 --platform ${PLATFORM} --rate 100 --seconds 25`
 
-/** One command, run in the foreground or beside the following ones. */
+/** A command, run in the foreground or in the background of the following ones. */
 interface Step {
   command: string
   isBackground?: boolean
-  /** Waits until this is in the output of the command, run again and again. */
+  /** Repeats the command until its output matches. */
   until?: RegExp
 }
 
--- a/scripts/writeCapacity.ts
+++ b/scripts/writeCapacity.ts
@@ -1,4 +1,4 @@
-/** Writes the tables of docs/CAPACITY.md from the kept results of the capacity bench. */
+/** Writes the tables of docs/CAPACITY.md from the results of the capacity bench. */
 import { readFile, writeFile } from 'node:fs/promises'
 import { MARKERS, renderCapacity } from '../bench/capacityPage.js'
 import type { CapacityResults } from '../bench/capacityPage.js'
