--- a/bench/__tests__/capacityPage.spec.ts
+++ b/bench/__tests__/capacityPage.spec.ts
@@ -4,7 +4,7 @@
 import type { CapacityResults } from '../capacityPage.js'
 import { fitExponent, fitLine } from '../fit.js'
 
-/** Cells without the padding that the formatter adds. */
+/** Removes the padding of table cells that the formatter adds. */
 const normalize = (text: string): string =>
   text
     .replace(/ *\| */g, '|')
@@ -13,7 +13,7 @@
     .trim()
 
 describe('docs/CAPACITY.md', () => {
-  it('has the tables that follow from the kept results', (t) => {
+  it('has the tables that are rendered from the kept results', (t) => {
     const results = JSON.parse(
       readFileSync('bench/results/capacity.json', 'utf8'),
     ) as CapacityResults
@@ -24,7 +24,7 @@
 })
 
 describe('fits', () => {
-  it('find the line and the exponent that points lie on', (t) => {
+  it('return the slope, base and exponent of exact points', (t) => {
     const points = [1, 2, 3, 5].map((size) => ({ size, value: 4 + 2 * size }))
     t.like(fitLine(points), { slope: 2, base: 4, r2: 1 })
     t.is(fitExponent([1, 2, 4, 8].map((size) => ({ size, value: 3 * size ** 2 }))), 2)
--- a/bench/__tests__/days.spec.ts
+++ b/bench/__tests__/days.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from '../../test/describe.js'
 
 const FOLDER = 'deploy/days'
-/** Days that the users have handed over, as they wrote them. */
+/** Days that users wrote, with their text. */
 const WRITTEN_BY_USERS: Record<string, string> = {
   deadly: `name = "deadly"
 faults = [{ at = 5.0, kind = "poison", how = "deadly", class = "esim-quick", share = 0.03, for_s = 20.0 }]
@@ -18,16 +18,16 @@
 describe('deploy/days', () => {
   for (const { name, text } of days) {
     describe(name, () => {
-      it('says first what it guards', (t) => {
+      it('begins with a comment on what it guards against', (t) => {
         t.regex(text, /^# [^]*\bGuards[\s#]+against\b/)
       })
 
-      it('holds one day of its own name', (t) => {
+      it('defines one day, which has the name of the file', (t) => {
         t.is(text.match(/^\[\[day\]\]$/gm)?.length, 1)
         t.regex(text, new RegExp(`^name = "${name}"$`, 'm'))
       })
 
-      it('speaks of services, queues and data halls in general terms', (t) => {
+      it('names services, queues and data halls by placeholders', (t) => {
         const places = [...text.matchAll(/\b(?:service|class|zone|to_zone) = "([^"]*)"/g)]
         for (const [, place] of places) t.regex(place ?? '', /^@[csz]\d$/)
         t.pass()
@@ -35,9 +35,9 @@
     })
   }
 
-  describe('handed over by the users', () => {
+  describe('written by users', () => {
     for (const [name, text] of Object.entries(WRITTEN_BY_USERS)) {
-      it(`keeps ${name} as they wrote it`, (t) => {
+      it(`keep the text of ${name}`, (t) => {
         t.is(readFileSync(`${FOLDER}/${name}.toml`, 'utf8'), text)
       })
     }
--- a/bench/account/__tests__/account.spec.ts
+++ b/bench/account/__tests__/account.spec.ts
@@ -25,13 +25,13 @@
   lineAt(17, 'n3', 'taskPlaced', { task: 'j1.0.0.1', waitedMs: 3000 }),
   lineAt(18, 'n3', 'taskPlaced', { task: 'j1.0.0.2', waitedMs: 1000 }),
   lineAt(18.5, 'n3', 'jobRefused', { job: 'j2', failure: 'unknown', reason: 'x' }),
-  'not a line of ours {',
+  'not a log event {',
 ].join('\n')
 
 describe('buildAccount', () => {
   const account = buildAccount(readLog(LOG))
 
-  it('puts each wait down to what was missing meanwhile', (t) => {
+  it('attributes each wait to what was missing at the time', (t) => {
     t.is(account.waited.get('VMs on the way'), 2)
     t.is(account.waited.get('no owner'), 3)
     t.is(account.waited.get('no room'), 1)
--- a/bench/standstill/__tests__/standstill.spec.ts
+++ b/bench/standstill/__tests__/standstill.spec.ts
@@ -41,7 +41,7 @@
       t.false(found?.unfinished)
     })
 
-    it('counts no time in which another task of it ran', (t) => {
+    it('leaves out the time in which another task of the job runs', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -53,7 +53,7 @@
       t.is(found?.ms, 2000)
     })
 
-    it('counts no time in which no task was ready', (t) => {
+    it('leaves out the time in which no task is ready', (t) => {
       const found = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -63,7 +63,7 @@
       t.is(found[0]?.ms, 500)
     })
 
-    it('shows a job that stands still to the end', (t) => {
+    it('reports a standstill that lasts until the logs end', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -74,7 +74,7 @@
       t.true(found?.unfinished)
     })
 
-    it('names a job of which nothing more is known', (t) => {
+    it('reports a job that never starts as incomplete', (t) => {
       const { standstills, incomplete } = findAll(
         taken(0, 'j1'),
         lineAt(30, 'targetHeard', { target: 'v1' }),
@@ -83,7 +83,7 @@
       t.deepEqual(incomplete, ['j1'])
     })
 
-    it('is not sure of an open job whose later lines may be lost', (t) => {
+    it('reports no standstill of an open job whose later lines may be lost', (t) => {
       const lines = [
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -95,7 +95,7 @@
       t.is(find(...lines, ofAnotherNode, taken(30, 'j4'))[0]?.ms, 29_000)
     })
 
-    it('takes a run whose start is lost for one that ran', (t) => {
+    it('counts a run whose start is not logged as running', (t) => {
       const found = find(
         taken(0, 'j1'),
         ended(5, 'j1.0.0.0', 'v1', 'done'),
@@ -104,7 +104,7 @@
       t.deepEqual(found, [])
     })
 
-    it('knows at the end of a takeover which inherited runs are no more', (t) => {
+    it('ends the inherited runs that a takeover has not found', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -117,7 +117,7 @@
   })
 
   describe('of a job with a new owner', () => {
-    it('counts from the end under its old owner', (t) => {
+    it('counts from the failure that the previous owner logged', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -129,7 +129,7 @@
   })
 
   describe('room', () => {
-    it('is there while a usable target runs nothing that ends by itself', (t) => {
+    it('exists while a usable target runs no finite task', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         taken(0, 'j2'),
@@ -145,7 +145,7 @@
       t.is(found?.withRoomMs, 2000)
     })
 
-    it('is there beside a task that lasts', (t) => {
+    it('exists beside a long-running task', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         taken(0, 'j2'),
@@ -160,7 +160,7 @@
   })
 
   describe('reasons', () => {
-    it('are those that the owner gave meanwhile for this job', (t) => {
+    it('are those logged for the job during the standstill', (t) => {
       const [found] = find(
         taken(0, 'j1'),
         placed(0, 'j1.0.0.0', 'v1'),
@@ -181,7 +181,7 @@
     })
   })
 
-  it('puts those with the most room first', (t) => {
+  it('sorts by the time with room, longest first', (t) => {
     const found = find(
       taken(0, 'j1'),
       taken(0, 'j2'),
