--- a/bench/account/buildAccount.ts
+++ b/bench/account/buildAccount.ts
@@ -2,7 +2,7 @@
 import type { LogEvent } from './readLog.js'
 
 /** Longest wait that is put down to no cause: two check intervals of an owner. */
-const MIN_EXPLAINED_WAIT_MS = 200
+const MAX_UNEXPLAINED_WAIT_MS = 200
 /** Time that the move of a VM takes; a wait in its new pool meanwhile is due to it. */
 const MOVE_MS = 1700
 
@@ -127,7 +127,7 @@
       const stats = statsOf(second, service)
       stats.starts++
       waitsByStats.set(stats, [...(waitsByStats.get(stats) ?? []), waitedMs])
-      if (waitedMs <= MIN_EXPLAINED_WAIT_MS) return
+      if (waitedMs <= MAX_UNEXPLAINED_WAIT_MS) return
       const cause = findCause(service, at - waitedMs, at)
       waited.set(cause, (waited.get(cause) ?? 0) + waitedMs / 1000)
     },
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -154,7 +154,7 @@
   }
   const outcomesById = new Map<string, { repeatable: boolean; outcomes: Outcome[] }>()
   const faults: Record<string, number> = {}
-  let running = true
+  let isRunning = true
 
   async function sendRequest(
     entry: EntryProcess,
@@ -266,7 +266,7 @@
   async function injectFaults(): Promise<void> {
     const names = Object.keys(FAULTS)
     const active: Promise<void>[] = []
-    while (running) {
+    while (isRunning) {
       const name = names[Math.floor(random() * names.length)]!
       faults[name] = (faults[name] ?? 0) + 1
       active.push(FAULTS[name]!())
@@ -291,7 +291,7 @@
       console.log(`sent ${number} of ${requests} requests`, JSON.stringify(tally))
   }
   await Promise.all(pending)
-  running = false
+  isRunning = false
   await injecting
 
   const violations = { doubledUnrepeatable: 0, falseNotRun: 0, answeredButNotRun: 0 }
