--- a/bench/fit.ts
+++ b/bench/fit.ts
@@ -1,14 +1,14 @@
-/** Straight lines through measured points. */
+/** Least-squares fits of measured points. */
 
-/** A least-squares line. */
+/** A fitted line. */
 export interface Fit {
   /** Change per unit of size. */
   slope: number
   /** Value at size 0. */
   base: number
-  /** Part of the variance that the line explains. */
+  /** Coefficient of determination. */
   r2: number
-  /** Largest distance of a point from the line, as a part of the largest value. */
+  /** Largest residual, as a share of the largest absolute value. */
   worst: number
 }
 
@@ -29,20 +29,20 @@
   const slope = covariance / mean((p) => (p.size - meanSize) ** 2)
   const base = meanValue - slope * meanSize
   const residuals = points.map((p) => p.value - (base + slope * p.size))
-  const total = mean((p) => (p.value - meanValue) ** 2)
-  const left = residuals.reduce((sum, r) => sum + r * r, 0) / n
-  const largest = Math.max(...points.map((p) => Math.abs(p.value)))
-  const worst = Math.max(...residuals.map(Math.abs)) / largest
-  const digits = (value: number) => Number(value.toPrecision(3))
+  const variance = mean((p) => (p.value - meanValue) ** 2)
+  const residualVariance = residuals.reduce((sum, r) => sum + r * r, 0) / n
+  const maxValue = Math.max(...points.map((p) => Math.abs(p.value)))
+  const worst = Math.max(...residuals.map(Math.abs)) / maxValue
+  const round = (value: number) => Number(value.toPrecision(3))
   return {
-    slope: digits(slope),
-    base: digits(base),
-    r2: digits(1 - left / total),
-    worst: digits(worst),
+    slope: round(slope),
+    base: round(base),
+    r2: round(1 - residualVariance / variance),
+    worst: round(worst),
   }
 }
 
-/** Exponent of the power law through the points: 1 is linear. */
+/** Fits a power law and returns its exponent: 1 is linear growth. */
 export function fitExponent(points: readonly Point[]): number {
   const logs = points.map(({ size, value }) => ({
     size: Math.log(size),
--- a/bench/drive.ts
+++ b/bench/loadGenerator.ts
@@ -1,11 +1,11 @@
-/** Closed and open loops against one address, for benches. */
+/** Closed-loop and open-loop load generators against one origin. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import { Client } from 'undici'
 import { createRandom, exponential } from '../playground/random.js'
 
-/** What to send. */
-export interface Work {
+/** A request to repeat. */
+export interface RequestSpec {
   origin: string
   path: string
   method: 'GET' | 'POST'
@@ -14,41 +14,45 @@
 
 const MAX_LATENCY_US = 60_000_000
 
-/** A histogram of times in µs. */
+/** Creates a histogram of latencies, in µs. */
 export const newHistogram = (): Histogram =>
   build({ highestTrackableValue: MAX_LATENCY_US, numberOfSignificantValueDigits: 3 })
 
-async function send(client: Client, work: Work): Promise<void> {
-  const { path, method, body } = work
+async function send(client: Client, spec: RequestSpec): Promise<void> {
+  const { path, method, body } = spec
   const res = await client.request({ path, method, body })
   await res.body.dump()
   if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`)
 }
 
-/** Requests a second that so many connections get through, each sending when it is answered. */
+/** Sends on each connection when the reply has come; returns the requests per second. */
 export async function closedLoop(
-  work: Work,
+  spec: RequestSpec,
   connections: number,
   ms: number,
 ): Promise<number> {
   const end = performance.now() + ms
-  let done = 0
-  const one = async () => {
-    const client = new Client(work.origin)
+  let completed = 0
+  const runConnection = async () => {
+    const client = new Client(spec.origin)
     while (performance.now() < end) {
-      await send(client, work)
-      done++
+      await send(client, spec)
+      completed++
     }
     await client.close()
   }
   const startedAt = performance.now()
-  await Promise.all(Array.from({ length: connections }, one))
-  return (done * 1000) / (performance.now() - startedAt)
+  await Promise.all(Array.from({ length: connections }, runConnection))
+  return (completed * 1000) / (performance.now() - startedAt)
 }
 
-/** Times of requests that arrive at a rate, whether or not earlier ones have ended. */
+/**
+ * Sends at Poisson arrivals of the given rate per second, whether or not earlier requests
+ * have ended, and returns the latencies. An arrival that finds no idle connection is
+ * dropped.
+ */
 export async function openLoop(
-  work: Work,
+  spec: RequestSpec,
   connections: number,
   rate: number,
   ms: number,
@@ -56,29 +60,28 @@
 ): Promise<Histogram> {
   const random = createRandom(seed)
   const latency = newHistogram()
-  const idle = Array.from({ length: connections }, () => new Client(work.origin))
-  const all = [...idle]
+  const idleClients = Array.from({ length: connections }, () => new Client(spec.origin))
+  const clients = [...idleClients]
   const pending = new Set<Promise<void>>()
   const startedAt = performance.now()
-  for (let due = 0; due < ms; due += exponential(random, 1000 / rate)) {
-    const wait = startedAt + due - performance.now()
-    if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-    const client = idle.pop()
+  for (let dueMs = 0; dueMs < ms; dueMs += exponential(random, 1000 / rate)) {
+    const waitMs = startedAt + dueMs - performance.now()
+    if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs))
+    const client = idleClients.pop()
     if (!client) continue
     const sentAt = performance.now()
-    const one: Promise<void> = send(client, work).then(() => {
+    const sending: Promise<void> = send(client, spec).then(() => {
       latency.recordValue(Math.round((performance.now() - sentAt) * 1000))
-      idle.push(client)
-      pending.delete(one)
+      idleClients.push(client)
+      pending.delete(sending)
     })
-    pending.add(one)
+    pending.add(sending)
   }
   await Promise.all(pending)
-  await Promise.all(all.map((client) => client.close()))
+  await Promise.all(clients.map((client) => client.close()))
   return latency
 }
 
-/** The median of some numbers. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b)
   const middle = Math.floor(sorted.length / 2)
--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -1,6 +1,6 @@
 /**
- * Time of one plan when nearly everything that waits finds no room, as at a peak: with what
- * found no room kept in mind, and with a look at every target for each step.
+ * Time of one planning run at peak load, when almost no waiting task finds room: with the
+ * planner skipping needs that found no room, and with every target tried for each step.
  */
 import { OPEN_POLICY } from '../src/scheduler/placementRules.js'
 import { planStarts } from '../src/scheduler/planner.js'
@@ -11,7 +11,7 @@
 import { createStillBook } from '../test/fixtures.js'
 import { QUEUE, makeJob } from '../test/jobRig.js'
 
-/** Jobs that wait, of eight tasks each, and targets, of which one in ten has some room. */
+/** Numbers of waiting jobs and of targets; one target in ten has room for some tasks. */
 const SIZES = [
   { jobs: 75, targets: 40 },
   { jobs: 300, targets: 100 },
@@ -20,7 +20,7 @@
 const TASKS_PER_JOB = 8
 const PLANS = 40
 
-function agentOf(index: number): TargetAgent {
+function makeAgent(index: number): TargetAgent {
   const cpu = index % 10 === 0 ? 6000 : 500
   const capacity = { cpu, memMb: 100_000, gpu: 0 }
   return {
@@ -31,14 +31,18 @@
   } as unknown as TargetAgent
 }
 
-/** Mean time of a plan, in ms. */
-function meanMs(jobCount: number, targetCount: number, looksAtAll: boolean): number {
+/** Mean time of a planning run, in ms. */
+function meanPlanMs(
+  jobCount: number,
+  targetCount: number,
+  triesEveryTarget: boolean,
+): number {
   const book = createStillBook()
   for (let each = 0; each < jobCount; each++) {
     const cpu = 2000 + ((each * 379) % 5000)
     book.add(makeJob({ cpu }, [{ count: TASKS_PER_JOB, cpu }]))
   }
-  const agents = Array.from({ length: targetCount }, (_, index) => agentOf(index))
+  const agents = Array.from({ length: targetCount }, (_, index) => makeAgent(index))
   const runTimes = createRunTimes()
   const plan = (): void =>
     void planStarts({
@@ -49,7 +53,7 @@
       penaltyOf: () => 0,
       mayTry: () => false,
       planned: () => undefined,
-      isSpecial: () => looksAtAll,
+      isSpecial: () => triesEveryTarget,
     })
   plan()
   const startedAt = performance.now()
@@ -57,13 +61,13 @@
   return (performance.now() - startedAt) / PLANS
 }
 
-/** Prints and returns the times. */
+/** Prints and returns the mean times. */
 export default async function plansBench(): Promise<object> {
   const plans = SIZES.map(({ jobs, targets }) => ({
     jobs,
     targets,
-    naiveMs: meanMs(jobs, targets, true),
-    ms: meanMs(jobs, targets, false),
+    naiveMs: meanPlanMs(jobs, targets, true),
+    ms: meanPlanMs(jobs, targets, false),
   }))
   console.table(plans)
   return { plans }
