--- a/src/entry/__tests__/allotments.spec.ts
+++ b/src/entry/__tests__/allotments.spec.ts
@@ -38,7 +38,7 @@
 )
 
 /** Entries over a small fake network. */
-function createWorld(limitOf: (entry: number) => number) {
+function createCluster(limitOf: (entry: number) => number) {
   const network: { from: string; to: number; message: LoanMessage }[] = []
   /** All messages ever sent; any may arrive once more. */
   const history: typeof network = []
@@ -130,11 +130,11 @@
         fc.integer({ min: 0, max: 24 }),
         fc.array(op, { maxLength: 120, size: 'max' }),
         (limit, ops) => {
-          const world = createWorld(() => limit)
-          world.exchangeAll()
+          const cluster = createCluster(() => limit)
+          cluster.exchangeAll()
           for (const step of ops) {
-            world.apply(step)
-            t.true(world.total() <= limit)
+            cluster.apply(step)
+            t.true(cluster.total() <= limit)
           }
         },
       ),
@@ -147,12 +147,12 @@
     fc.assert(
       fc.property(ops, ops, (before, during) => {
         const limits = IDS.map(() => 24)
-        const world = createWorld((index) => limits[index]!)
-        world.exchangeAll()
+        const cluster = createCluster((index) => limits[index]!)
+        cluster.exchangeAll()
         const run = (steps: Op[]) => {
           for (const step of steps) {
-            world.apply(step)
-            t.true(world.total() <= 24)
+            cluster.apply(step)
+            t.true(cluster.total() <= 24)
           }
         }
         run(before)
@@ -160,46 +160,46 @@
           limits[index] = 8
           run(during.slice(index * 20, (index + 1) * 20))
         })
-        for (const node of world.nodes) node.inFlight = node.queued = 0
-        for (let round = 0; round < 4; round++) world.exchangeAll()
-        IDS.forEach((_, index) => world.apply({ kind: 'fill', at: index }))
-        t.true(world.total() <= 8, `${world.total()} run`)
+        for (const node of cluster.nodes) node.inFlight = node.queued = 0
+        for (let round = 0; round < 4; round++) cluster.exchangeAll()
+        IDS.forEach((_, index) => cluster.apply({ kind: 'fill', at: index }))
+        t.true(cluster.total() <= 8, `${cluster.total()} run`)
       }),
       { numRuns: 500 },
     )
   })
 
   it('follows uneven demand: one entry gets most of the limit', (t) => {
-    const world = createWorld(() => 48)
-    world.exchangeAll()
-    world.nodes[0]!.queued = 48
+    const cluster = createCluster(() => 48)
+    cluster.exchangeAll()
+    cluster.nodes[0]!.queued = 48
     for (let round = 0; round < 20; round++) {
-      while (world.admit(0))
-        world.nodes[0]!.queued = Math.max(1, world.nodes[0]!.queued - 1)
-      world.exchangeAll()
+      while (cluster.admit(0))
+        cluster.nodes[0]!.queued = Math.max(1, cluster.nodes[0]!.queued - 1)
+      cluster.exchangeAll()
     }
-    t.true(world.nodes[0]!.inFlight >= 36, String(world.nodes[0]!.inFlight))
-    t.true(world.total() <= 48)
+    t.true(cluster.nodes[0]!.inFlight >= 36, String(cluster.nodes[0]!.inFlight))
+    t.true(cluster.total() <= 48)
   })
 
   it('gives back what is not needed, and reaches every part again', (t) => {
-    const world = createWorld(() => 48)
-    world.exchangeAll()
-    world.nodes[0]!.queued = 48
-    for (let round = 0; round < 10; round++) world.exchangeAll()
-    world.nodes[0]!.queued = 0
-    for (let round = 0; round < 60; round++) world.exchangeAll()
+    const cluster = createCluster(() => 48)
+    cluster.exchangeAll()
+    cluster.nodes[0]!.queued = 48
+    for (let round = 0; round < 10; round++) cluster.exchangeAll()
+    cluster.nodes[0]!.queued = 0
+    for (let round = 0; round < 60; round++) cluster.exchangeAll()
     for (let i = 0; i < IDS.length; i++)
-      t.is(world.nodes[i]!.allotments.usable(SERVICE), 12)
+      t.is(cluster.nodes[i]!.allotments.usable(SERVICE), 12)
   })
 
   it('a fresh life uses a quarter until all have told what they still hold', (t) => {
-    const world = createWorld(() => 48)
-    world.exchangeAll()
-    world.apply({ kind: 'restart', at: 1 })
-    t.is(world.nodes[1]!.allotments.usable(SERVICE), 3)
-    world.exchangeAll()
-    world.exchangeAll()
-    t.is(world.nodes[1]!.allotments.usable(SERVICE), 12)
+    const cluster = createCluster(() => 48)
+    cluster.exchangeAll()
+    cluster.apply({ kind: 'restart', at: 1 })
+    t.is(cluster.nodes[1]!.allotments.usable(SERVICE), 3)
+    cluster.exchangeAll()
+    cluster.exchangeAll()
+    t.is(cluster.nodes[1]!.allotments.usable(SERVICE), 12)
   })
 })
--- a/src/entry/__tests__/once.spec.ts
+++ b/src/entry/__tests__/once.spec.ts
@@ -4,9 +4,9 @@
 import { createOnce } from '../once.js'
 import type { Once, OncePeers } from '../once.js'
 import { ownerOf } from '../requestIds.js'
-import type { EntryPlace } from '../requestIds.js'
+import type { EntryLocation } from '../requestIds.js'
 
-const ENTRIES: EntryPlace[] = [
+const ENTRIES: EntryLocation[] = [
   { id: 'a1', hall: 'a' },
   { id: 'a2', hall: 'a' },
   { id: 'a3', hall: 'a' },
@@ -15,7 +15,7 @@
 ]
 let tokens = 0
 /** A token for one request. */
-const fresh = () => `t${tokens++}`
+const newToken = () => `t${tokens++}`
 
 /** An id that names no hall, and whose home is hall a. */
 const PLAIN = 'w'
@@ -25,7 +25,7 @@
 const LATER = 'a.1700000100.c'
 
 /** Entries whose links can be cut and whose memory can be lost. */
-function createWorld() {
+function createCluster() {
   const nodes = new Map<string, Once>()
   const cut = new Set<string>()
   const gone = new Set<string>()
@@ -158,24 +158,24 @@
     let ran = 0
     await fc.assert(
       fc.asyncProperty(fc.array(op, { maxLength: 60, size: 'max' }), async (ops) => {
-        const world = createWorld()
+        const cluster = createCluster()
         const runs = new Map<string, number>()
         for (const step of ops) {
           if ('ends' in step) {
-            const verdict = await world.node(step.at).begin(step.id, fresh())
+            const verdict = await cluster.node(step.at).begin(step.id, newToken())
             if (verdict.kind !== 'first') continue
             const times = (runs.get(step.id) ?? 0) + (step.ends === 'not-run' ? 0 : 1)
             runs.set(step.id, times)
             ran += times
             if (times > 1) throw new Error(`${step.id} ran twice`)
-            await world.node(step.at).end(step.id, step.ends)
-          } else if (step.kind === 'lose') world.setLoseReplies(step.lose)
-          else if (step.kind === 'later') world.advance(20_000)
-          else if (step.kind === 'leave') await world.node(step.at).leave()
-          else if (step.kind === 'link') world.toggleLink(step.at, step.to)
-          else if (step.kind === 'kill') world.kill(step.at)
-          else if (step.kind === 'replace') await world.stopAndStart(step.at)
-          else await world.node(step.at).recover()
+            await cluster.node(step.at).end(step.id, step.ends)
+          } else if (step.kind === 'lose') cluster.setLoseReplies(step.lose)
+          else if (step.kind === 'later') cluster.advance(20_000)
+          else if (step.kind === 'leave') await cluster.node(step.at).leave()
+          else if (step.kind === 'link') cluster.toggleLink(step.at, step.to)
+          else if (step.kind === 'kill') cluster.kill(step.at)
+          else if (step.kind === 'replace') await cluster.stopAndStart(step.at)
+          else await cluster.node(step.at).recover()
         }
       }),
       { numRuns: 1500 },
@@ -185,12 +185,12 @@
 
   describe('a repeat', () => {
     it('is known at every entry of the home hall, and in another hall by its dated id', async (t) => {
-      const world = createWorld()
+      const cluster = createCluster()
       const id = 'a.1700000010.z'
-      t.is((await world.node('b1').begin(id, fresh())).kind, 'first')
-      await world.node('b1').end(id, 'answered')
+      t.is((await cluster.node('b1').begin(id, newToken())).kind, 'first')
+      await cluster.node('b1').end(id, 'answered')
       for (const { id: at } of ENTRIES) {
-        t.deepEqual(await world.node(at).begin(id, fresh()), {
+        t.deepEqual(await cluster.node(at).begin(id, newToken()), {
           kind: 'repeat',
           state: 'answered',
         })
@@ -198,82 +198,82 @@
     })
 
     it('is new again after the first one was told not-run', async (t) => {
-      const world = createWorld()
+      const cluster = createCluster()
       for (const { id: at } of ENTRIES.slice(0, 3)) {
-        t.is((await world.node(at).begin(PLAIN, fresh())).kind, 'first')
-        await world.node(at).end(PLAIN, 'not-run')
+        t.is((await cluster.node(at).begin(PLAIN, newToken())).kind, 'first')
+        await cluster.node(at).end(PLAIN, 'not-run')
       }
     })
 
     it('is known while each entry is replaced in turn, and after it', async (t) => {
-      const world = createWorld()
-      await world.node('a1').begin(PLAIN, fresh())
-      await world.node('a1').end(PLAIN, 'answered')
+      const cluster = createCluster()
+      await cluster.node('a1').begin(PLAIN, newToken())
+      await cluster.node('a1').end(PLAIN, 'answered')
       for (const id of ['a1', 'a2', 'a3', 'a1']) {
-        await world.node(id).leave()
+        await cluster.node(id).leave()
         for (const at of ['b1', 'b2'])
-          t.is((await world.node(at).begin(PLAIN, fresh())).kind, 'repeat')
-        world.kill(id)
-        await world.node(id).recover()
+          t.is((await cluster.node(at).begin(PLAIN, newToken())).kind, 'repeat')
+        cluster.kill(id)
+        await cluster.node(id).recover()
         for (const { id: at } of ENTRIES)
-          t.is((await world.node(at).begin(PLAIN, fresh())).kind, 'repeat')
+          t.is((await cluster.node(at).begin(PLAIN, newToken())).kind, 'repeat')
       }
     })
   })
 
   it('does not multiply messages while nobody can tell', async (t) => {
     const owner = ownerOf(PLAIN, ENTRIES)
-    const world = createWorld()
-    world.kill(owner)
-    await world.node(owner).recover()
-    const before = world.claims()
-    for (let n = 0; n < 20; n++) await world.node('b1').begin(PLAIN, fresh())
+    const cluster = createCluster()
+    cluster.kill(owner)
+    await cluster.node(owner).recover()
+    const before = cluster.claims()
+    for (let n = 0; n < 20; n++) await cluster.node('b1').begin(PLAIN, newToken())
     // The owner itself said that it is unsure: one message each, and nobody else is asked.
-    t.is(world.claims() - before, 20)
-    const cut = createWorld()
+    t.is(cluster.claims() - before, 20)
+    const cut = createCluster()
     cut.cutOff(owner)
-    for (let n = 0; n < 20; n++) await cut.node('b1').begin(PLAIN, fresh())
+    for (let n = 0; n < 20; n++) await cut.node('b1').begin(PLAIN, newToken())
     t.true(cut.claims() <= ENTRIES.length)
-    const lacking = createWorld()
+    const lacking = createCluster()
     lacking.kill(owner)
-    for (let n = 0; n < 20; n++) await lacking.node('b1').begin(PLAIN, fresh())
+    for (let n = 0; n < 20; n++) await lacking.node('b1').begin(PLAIN, newToken())
     // The owner may have its memory at any time, so it is asked each time.
     t.true(lacking.claims() <= 20 + ENTRIES.length)
   })
 
   it('knows a request that asks again after a lost reply', async (t) => {
-    const world = createWorld()
+    const cluster = createCluster()
     const owner = ownerOf(PLAIN, ENTRIES)
-    world.setLoseReplies(true)
-    t.is((await world.node('b1').begin(PLAIN, 'mine')).kind, 'unsure')
-    world.setLoseReplies(false)
-    await world.node(owner).leave()
-    world.advance(1000)
-    t.is((await world.node('b1').begin(PLAIN, 'mine')).kind, 'first')
-    t.is((await world.node('b2').begin(PLAIN, 'other')).kind, 'repeat')
+    cluster.setLoseReplies(true)
+    t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'unsure')
+    cluster.setLoseReplies(false)
+    await cluster.node(owner).leave()
+    cluster.advance(1000)
+    t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'first')
+    t.is((await cluster.node('b2').begin(PLAIN, 'other')).kind, 'repeat')
   })
 
   describe('memory that is lost', () => {
     it('is logged by the entry that could leave it with nobody', async (t) => {
-      const world = createWorld()
-      world.setLoseReplies(true)
-      await world.node('a1').leave()
-      t.deepEqual(world.events(), ['onceMemoryNotLeft'])
-      const alone = createWorld()
+      const cluster = createCluster()
+      cluster.setLoseReplies(true)
+      await cluster.node('a1').leave()
+      t.deepEqual(cluster.events(), ['onceMemoryNotLeft'])
+      const alone = createCluster()
       alone.cutOff('a1')
       await alone.node('a1').leave()
       t.deepEqual(alone.events(), ['onceMemoryNotLeft'])
     })
 
     it('is logged by the next life, but not memory that was found', async (t) => {
-      const world = createWorld()
-      await world.stopAndStart('a1')
-      await world.node('a1').recover()
-      t.deepEqual(world.events(), [])
-      world.kill('a1')
-      await world.node('a1').recover()
-      t.deepEqual(world.events(), ['onceMemoryMissing'])
-      const alone = createWorld()
+      const cluster = createCluster()
+      await cluster.stopAndStart('a1')
+      await cluster.node('a1').recover()
+      t.deepEqual(cluster.events(), [])
+      cluster.kill('a1')
+      await cluster.node('a1').recover()
+      t.deepEqual(cluster.events(), ['onceMemoryMissing'])
+      const alone = createCluster()
       alone.cutOff('a1')
       alone.kill('a1')
       t.false(await alone.node('a1').recover())
@@ -286,77 +286,78 @@
 
   describe('a life that could not ask for its memory', () => {
     /** An entry whose memory lies with a peer that its next life does not reach. */
-    async function cutFromHeir() {
-      const world = createWorld()
+    async function cutOffFromSuccessor() {
+      const cluster = createCluster()
       const owner = ownerOf(DATED, ENTRIES)
-      await world.node(owner).leave()
-      world.cutOff(owner)
-      world.kill(owner)
-      await world.node(owner).recover()
-      world.advance(100_000)
-      return { world, owner }
+      await cluster.node(owner).leave()
+      cluster.cutOff(owner)
+      cluster.kill(owner)
+      await cluster.node(owner).recover()
+      cluster.advance(100_000)
+      return { cluster, owner }
     }
 
     it('grants nothing that its heir may grant, and leaves that to it', async (t) => {
-      const { world, owner } = await cutFromHeir()
-      const own = world.node(owner).answer.claim(DATED, owner, fresh())
+      const { cluster, owner } = await cutOffFromSuccessor()
+      const own = cluster.node(owner).answer.claim(DATED, owner, newToken())
       t.like(own, { kind: 'unsure', standIn: true })
-      t.is((await world.node('b1').begin(DATED, fresh())).kind, 'first')
+      t.is((await cluster.node('b1').begin(DATED, newToken())).kind, 'first')
     })
 
     it('leaves no old memory to a later life for the newest', async (t) => {
-      const { world, owner } = await cutFromHeir()
-      const granted = (await world.node(owner).begin(DATED, fresh())).kind === 'first'
-      world.kill(owner)
-      world.join(owner)
-      await world.node(owner).recover()
-      const again = (await world.node(owner).begin(DATED, fresh())).kind === 'first'
+      const { cluster, owner } = await cutOffFromSuccessor()
+      const granted =
+        (await cluster.node(owner).begin(DATED, newToken())).kind === 'first'
+      cluster.kill(owner)
+      cluster.join(owner)
+      await cluster.node(owner).recover()
+      const again = (await cluster.node(owner).begin(DATED, newToken())).kind === 'first'
       t.false(granted && again, 'the request ran twice')
     })
 
     it('asks again, and goes on with the memory that it gets', async (t) => {
-      const { world, owner } = await cutFromHeir()
-      t.is((await world.node('b1').begin(DATED, fresh())).kind, 'first')
-      world.join(owner)
-      await world.node(owner).recover()
-      t.is((await world.node(owner).begin(DATED, fresh())).kind, 'repeat')
-      t.is((await world.node(owner).begin(LATER, fresh())).kind, 'first')
+      const { cluster, owner } = await cutOffFromSuccessor()
+      t.is((await cluster.node('b1').begin(DATED, newToken())).kind, 'first')
+      cluster.join(owner)
+      await cluster.node(owner).recover()
+      t.is((await cluster.node(owner).begin(DATED, newToken())).kind, 'repeat')
+      t.is((await cluster.node(owner).begin(LATER, newToken())).kind, 'first')
     })
 
     it('need not ask an entry that is gone', async (t) => {
-      const { world, owner } = await cutFromHeir()
-      for (const { id } of ENTRIES) world.setGone(id, true)
-      t.is((await world.node(owner).begin(DATED, fresh())).kind, 'first')
+      const { cluster, owner } = await cutOffFromSuccessor()
+      for (const { id } of ENTRIES) cluster.setGone(id, true)
+      t.is((await cluster.node(owner).begin(DATED, newToken())).kind, 'first')
       // Its memory is gone, so that it need not be asked when it comes back either.
-      for (const { id } of ENTRIES) world.setGone(id, false)
-      t.is((await world.node(owner).begin(LATER, fresh())).kind, 'first')
+      for (const { id } of ENTRIES) cluster.setGone(id, false)
+      t.is((await cluster.node(owner).begin(LATER, newToken())).kind, 'first')
     })
   })
 
   describe('a fresh id', () => {
     it('is granted by whoever stands in for an owner that is being replaced', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
-      const world = createWorld()
-      await world.node(owner).leave()
-      t.is((await world.node('b1').begin(PLAIN, fresh())).kind, 'first')
-      world.kill(owner)
-      await world.node(owner).recover()
-      t.is((await world.node('b2').begin(PLAIN, fresh())).kind, 'repeat')
+      const cluster = createCluster()
+      await cluster.node(owner).leave()
+      t.is((await cluster.node('b1').begin(PLAIN, newToken())).kind, 'first')
+      cluster.kill(owner)
+      await cluster.node(owner).recover()
+      t.is((await cluster.node('b2').begin(PLAIN, newToken())).kind, 'repeat')
     })
 
     it('may be asked again while the memory goes back to the owner', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
-      const world = createWorld()
-      await world.node(owner).leave()
-      t.is((await world.node('b1').begin(PLAIN, 'mine')).kind, 'first')
+      const cluster = createCluster()
+      await cluster.node(owner).leave()
+      t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'first')
       // The next life has its memory back, but does not answer yet.
-      world.kill(owner)
-      await world.node(owner).recover()
-      world.cutOff(owner)
+      cluster.kill(owner)
+      await cluster.node(owner).recover()
+      cluster.cutOff(owner)
       const other = ['w1', 'w2', 'w3', 'w4', 'w5'].find(
         (id) => ownerOf(id, ENTRIES) === owner,
       )!
-      t.like(await world.node('b1').begin(other, 'later'), {
+      t.like(await cluster.node('b1').begin(other, 'later'), {
         kind: 'unsure',
         standIn: true,
       })
@@ -364,24 +365,24 @@
 
     it('is unsure while the owner is cut off or has lost its memory, for as long as that lasted', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
-      const world = createWorld()
-      world.cutOff(owner)
-      t.is((await world.node('b1').begin(PLAIN, fresh())).kind, 'unsure')
-      const lost = createWorld()
+      const cluster = createCluster()
+      cluster.cutOff(owner)
+      t.is((await cluster.node('b1').begin(PLAIN, newToken())).kind, 'unsure')
+      const lost = createCluster()
       lost.kill(owner)
       await lost.node(owner).recover()
-      t.is((await lost.node('b1').begin(PLAIN, fresh())).kind, 'unsure')
+      t.is((await lost.node('b1').begin(PLAIN, newToken())).kind, 'unsure')
       lost.advance(MEMORY_MS)
-      t.is((await lost.node('b1').begin(PLAIN, fresh())).kind, 'first')
+      t.is((await lost.node('b1').begin(PLAIN, newToken())).kind, 'first')
     })
 
     it('that was made after its owner started is granted, but not one from the future', async (t) => {
-      const world = createWorld()
-      for (const { id } of ENTRIES) world.kill(id)
-      for (const { id } of ENTRIES) await world.node(id).recover()
-      world.advance(100_000)
-      t.is((await world.node('a1').begin('a.1700000100.z', fresh())).kind, 'first')
-      t.is((await world.node('a1').begin('a.1700000200.z', fresh())).kind, 'unsure')
+      const cluster = createCluster()
+      for (const { id } of ENTRIES) cluster.kill(id)
+      for (const { id } of ENTRIES) await cluster.node(id).recover()
+      cluster.advance(100_000)
+      t.is((await cluster.node('a1').begin('a.1700000100.z', newToken())).kind, 'first')
+      t.is((await cluster.node('a1').begin('a.1700000200.z', newToken())).kind, 'unsure')
     })
   })
 })
--- a/src/entry/__tests__/outcomes.spec.ts
+++ b/src/entry/__tests__/outcomes.spec.ts
@@ -11,7 +11,10 @@
 const LARGE = Buffer.alloc(300 * 1024, 'x')
 
 /** What a target does with a request, by its path. */
-const BREAKS: Record<string, (req: IncomingMessage, res: ServerResponse) => void> = {
+const TARGET_HANDLERS: Record<
+  string,
+  (req: IncomingMessage, res: ServerResponse) => void
+> = {
   '/half-request': (req) => void req.once('data', () => req.socket.destroy()),
   '/whole-request': (req) => void req.resume().once('end', () => req.socket.destroy()),
   '/head-only': (req, res) => {
@@ -63,7 +66,7 @@
     const server = createServer((req, res) => {
       if (req.url === '/health') return void res.end(JSON.stringify(health))
       hits.push(req.url!)
-      BREAKS[req.url!]!(req, res)
+      TARGET_HANDLERS[req.url!]!(req, res)
     })
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
     servers.push(server)
--- a/src/entry/__tests__/policy.spec.ts
+++ b/src/entry/__tests__/policy.spec.ts
@@ -6,8 +6,8 @@
 import { createLimiter, partOfLimit } from '../limiter.js'
 import type { Limiter } from '../limiter.js'
 import { createRetryBudget } from '../retryBudget.js'
-import { PRIORITIES } from '../turns.js'
-import type { Priority } from '../turns.js'
+import { PRIORITIES } from '../fairQueue.js'
+import type { Priority } from '../fairQueue.js'
 import type { Target } from '../target.js'
 
 function fakeTarget(over: Partial<Target> = {}): Target {
@@ -19,7 +19,7 @@
     active: true,
     listedLeaving: false,
     draining: false,
-    mismatched: false,
+    isMismatched: false,
     excludedUntil: 0,
     ...over,
   } as Target
@@ -73,7 +73,7 @@
       fakeTarget({ active: false }),
       fakeTarget({ listedLeaving: true }),
       fakeTarget({ draining: true }),
-      fakeTarget({ mismatched: true }),
+      fakeTarget({ isMismatched: true }),
       fakeTarget({ inFlight: 8 }),
       excluded(),
     ]
@@ -87,9 +87,9 @@
 })
 
 describe('createLimiter', () => {
-  const far = () => performance.now() + 60_000
+  const farDeadline = () => performance.now() + 60_000
   const ask = (priority: Priority, team = 't') => {
-    return { priority, team, deadline: far(), cancellation: createCancellation() }
+    return { priority, team, deadline: farDeadline(), cancellation: createCancellation() }
   }
   const limiterOf = (maxQueue: number, weights: Record<string, number> = {}) =>
     createLimiter({ capacity: () => 1, maxQueue, weightOf: (team) => weights[team] ?? 1 })
@@ -104,9 +104,9 @@
     const all = waiting.map(async ([priority, team], index) => {
       if ((await limiter.admit(ask(priority, team))) !== 'admitted') return
       order.push(index)
-      limiter.leave(0)
+      limiter.release(0)
     })
-    limiter.leave(0)
+    limiter.release(0)
     await Promise.all(all)
     return order
   }
@@ -176,9 +176,9 @@
     t.is(await limiter.admit(ask('deferrable', 'other')), 'queue full')
     const urgent = limiter.admit(ask('urgent', 'flood'))
     t.is(await flood[1], 'queue full')
-    limiter.leave(0)
+    limiter.release(0)
     t.is(await urgent, 'admitted')
-    limiter.leave(0)
+    limiter.release(0)
     t.is(await Promise.race([flood[0], other]), 'admitted')
   })
 
@@ -186,19 +186,19 @@
     const limiter = limiterOf(9)
     for (let i = 0; i < 200; i++) {
       await limiter.admit(ask('normal'))
-      limiter.leave(1000)
+      limiter.release(1000)
     }
     await limiter.admit(ask('normal'))
-    const patient = limiter.admit(ask('normal'))
-    limiter.leave(1000)
-    t.is(await patient, 'admitted')
-    const hurried = limiter.admit({
+    const longDeadline = limiter.admit(ask('normal'))
+    limiter.release(1000)
+    t.is(await longDeadline, 'admitted')
+    const shortDeadline = limiter.admit({
       ...ask('normal'),
       deadline: performance.now() + 1200,
     })
     await new Promise((resolve) => setTimeout(resolve, 700))
-    limiter.leave(1000)
-    t.is(await hurried, 'deadline passed')
+    limiter.release(1000)
+    t.is(await shortDeadline, 'deadline passed')
   })
 
   it('forgets callers that leave', async (t) => {
--- a/src/entry/allotments.ts
+++ b/src/entry/allotments.ts
@@ -12,9 +12,9 @@
 /** Part of an entry's own tokens that may be lent out. */
 const LENDABLE_SHARE = 0.75
 /** Part of its tokens in use above which an entry asks for more. */
-const ASK_ABOVE = 0.8
+const BORROW_ABOVE_USAGE = 0.8
 /** Steps without need after which borrowed tokens go back. */
-const IDLE_STEPS = 5
+const RETURN_AFTER_IDLE_STEPS = 5
 
 /** Totals about one service between two lives of two entries. */
 export interface LoanLine {
@@ -84,7 +84,7 @@
   /** Its latest known life; what earlier ones still say is of no account. */
   life: number
   /** It has spoken about our present life, so its `legacy` is known. */
-  heard: boolean
+  isSynced: boolean
   accounts: Map<string, Account>
 }
 
@@ -108,7 +108,7 @@
   let superseded = false
   for (const id of entries) {
     if (id === own) continue
-    peers.set(id, { id, life: 0, heard: false, accounts: new Map() })
+    peers.set(id, { id, life: 0, isSynced: false, accounts: new Map() })
   }
 
   function accountOf(peer: PeerState, service: string): Account {
@@ -120,14 +120,14 @@
     return account
   }
 
-  const part = (service: string) => partOfLimit(limitOf(service), entries, own)
-  const lendable = (service: string) => Math.floor(part(service) * LENDABLE_SHARE)
+  const ownPart = (service: string) => partOfLimit(limitOf(service), entries, own)
+  const lendable = (service: string) => Math.floor(ownPart(service) * LENDABLE_SHARE)
 
-  function sum(service: string, pick: (account: Account) => number): number {
+  function sum(service: string, amountOf: (account: Account) => number): number {
     let total = 0
     for (const peer of peers.values()) {
       const account = peer.accounts.get(service)
-      if (account) total += pick(account)
+      if (account) total += amountOf(account)
     }
     return total
   }
@@ -141,15 +141,15 @@
   /** Our tokens that may be in use from an earlier life of ours. */
   function outstanding(service: string): number {
     const known = sum(service, (a) => a.theirLegacy)
-    const allHeard = [...peers.values()].every(
-      (peer) => peer.heard || opts.isGone(peer.id),
+    const allSynced = [...peers.values()].every(
+      (peer) => peer.isSynced || opts.isGone(peer.id),
     )
-    return allHeard ? known : Math.max(known, lendable(service))
+    return allSynced ? known : Math.max(known, lendable(service))
   }
 
   function usable(service: string): number {
     if (superseded) return 0
-    const mine = Math.max(0, part(service) - lent(service) - outstanding(service))
+    const mine = Math.max(0, ownPart(service) - lent(service) - outstanding(service))
     return mine + borrowed(service) - frozen(service)
   }
 
@@ -157,26 +157,32 @@
   function wants(service: string): number {
     const queued = opts.queued(service)
     const inFlight = opts.inFlight(service)
-    const tight = inFlight + queued > usable(service) * ASK_ABOVE
-    return tight ? queued + Math.max(1, Math.ceil(inFlight * (1 - ASK_ABOVE))) : 0
+    const isNearlyFull = inFlight + queued > usable(service) * BORROW_ABOVE_USAGE
+    return isNearlyFull
+      ? queued + Math.max(1, Math.ceil(inFlight * (1 - BORROW_ABOVE_USAGE)))
+      : 0
   }
 
   const spare = (service: string) =>
     usable(service) - opts.inFlight(service) - opts.queued(service)
 
   function lend(service: string): void {
-    const asking = [...peers.values()].filter(
-      (peer) => peer.heard && (peer.accounts.get(service)?.theirWants ?? 0) > 0,
+    const borrowers = [...peers.values()].filter(
+      (peer) => peer.isSynced && (peer.accounts.get(service)?.theirWants ?? 0) > 0,
     )
-    if (asking.length === 0 || wants(service) > 0) return
+    if (borrowers.length === 0 || wants(service) > 0) return
     const room = Math.min(
       Math.floor(spare(service) / 2),
       lendable(service) - lent(service) - outstanding(service),
     )
     let left = room
-    for (const peer of asking) {
+    for (const peer of borrowers) {
       const account = accountOf(peer, service)
-      const amount = Math.min(left, account.theirWants, Math.ceil(room / asking.length))
+      const amount = Math.min(
+        left,
+        account.theirWants,
+        Math.ceil(room / borrowers.length),
+      )
       if (amount <= 0) return
       account.granted += amount
       account.theirWants -= amount
@@ -189,7 +195,7 @@
     const steps = isIdle ? (idleSteps.get(service) ?? 0) + 1 : 0
     idleSteps.set(service, steps)
     const unused = usable(service) + frozen(service) - opts.inFlight(service)
-    let left = steps < IDLE_STEPS ? 0 : Math.ceil(spare(service) / 2)
+    let left = steps < RETURN_AFTER_IDLE_STEPS ? 0 : Math.ceil(spare(service) / 2)
     let free = Math.max(0, unused)
     for (const peer of peers.values()) {
       const account = peer.accounts.get(service)
@@ -211,11 +217,11 @@
   }
 
   /** Tokens lent beyond what a smaller limit leaves us. */
-  const shortfall = (service: string) => Math.max(0, lent(service) - part(service))
+  const shortfall = (service: string) => Math.max(0, lent(service) - ownPart(service))
 
-  function meet(peer: PeerState, nextLife: number): void {
+  function startPeerLife(peer: PeerState, nextLife: number): void {
     peer.life = nextLife
-    peer.heard = false
+    peer.isSynced = false
     for (const [service, account] of peer.accounts) {
       const legacy = account.legacy + account.grantedSeen - account.returned
       // What its earlier life had borrowed from us ended with it.
@@ -224,10 +230,10 @@
   }
 
   /** A life of this entry is known that seems to be later than this one. */
-  function noteLaterLife(other: number): void {
-    const isFresh = [...peers.values()].every((peer) => !peer.heard)
+  function noteLaterLife(laterLife: number): void {
+    const isFresh = [...peers.values()].every((peer) => !peer.isSynced)
     // A fresh process whose clock is behind its predecessor's; or one that was replaced.
-    if (isFresh) life = other + 1
+    if (isFresh) life = laterLife + 1
     else superseded = true
   }
 
@@ -235,7 +241,7 @@
     usable,
     step() {
       for (const peer of peers.values()) {
-        if (peer.heard && opts.isGone(peer.id)) meet(peer, peer.life + 1)
+        if (peer.isSynced && opts.isGone(peer.id)) startPeerLife(peer, peer.life + 1)
       }
       for (const service of opts.services()) {
         lend(service)
@@ -262,7 +268,7 @@
     receive(id, message) {
       const peer = peers.get(id)
       if (!peer || message.life < peer.life) return
-      if (message.life > peer.life) meet(peer, message.life)
+      if (message.life > peer.life) startPeerLife(peer, message.life)
       if (message.peerLife > life) noteLaterLife(message.peerLife)
       // Totals about another life of ours say nothing about this one.
       if (message.peerLife !== life) return
@@ -276,7 +282,7 @@
         account.theirWants = line?.wants ?? 0
         account.theirRecall = line?.recall ?? 0
       }
-      peer.heard = true
+      peer.isSynced = true
     },
   }
 }
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -43,18 +43,18 @@
   return Array.isArray(value) ? value[0] : value
 }
 
-const givenUp = () => new Error('the request was given up')
+const cancelledError = () => new Error('the request was given up')
 
 /** Sends the request and streams the answer. Never rejects. */
 export function runAttempt(opts: AttemptOptions): Promise<AttemptResult> {
   const { client, call, res, cancellation } = opts
   return new Promise((resolve) => {
-    let sent = false
-    let headPassed = false
+    let isSent = false
+    let isHeadSent = false
     let refusal: string | undefined
     let status = 0
     /** Bytes still to come; NaN where the target names no length. */
-    let left = NaN
+    let bytesLeft = NaN
     let control: Dispatcher.DispatchController | undefined
 
     const finish = (result: AttemptResult) => {
@@ -64,14 +64,14 @@
     }
     const onDrain = () => control?.resume()
 
-    const failed = (reason: string): AttemptResult => {
+    const failureResult = (reason: string): AttemptResult => {
       if (res.destroyed && !res.writableFinished) return { kind: 'caller-left' }
-      if (headPassed && left === 0) return { kind: 'answered', status }
-      if (headPassed) return { kind: 'broken', reason }
+      if (isHeadSent && bytesLeft === 0) return { kind: 'answered', status }
+      if (isHeadSent) return { kind: 'broken', reason }
       if (refusal !== undefined) {
         return { kind: 'not-run', reason: refusal, refusedByTarget: true }
       }
-      if (sent) return { kind: 'unknown', reason }
+      if (isSent) return { kind: 'unknown', reason }
       return { kind: 'not-run', reason, refusedByTarget: false }
     }
 
@@ -79,8 +79,8 @@
       onRequestStart(controller) {
         // undici calls this right before the first byte is written.
         control = controller
-        if (cancellation.cancelled) return controller.abort(givenUp())
-        sent = true
+        if (cancellation.cancelled) return controller.abort(cancelledError())
+        isSent = true
       },
       onResponseStart(controller, statusCode, headers, statusMessage) {
         if (statusCode < 200) return
@@ -89,36 +89,36 @@
           refusal = `target refused with ${statusCode}`
           return
         }
-        headPassed = true
-        left = Number(headerOf(headers, 'content-length') ?? NaN)
+        isHeadSent = true
+        bytesLeft = Number(headerOf(headers, 'content-length') ?? NaN)
         const raw = rawHeaders(controller, headers)
-        const passed = headersForCaller(raw)
-        passed.push(OUTCOME_HEADER, 'answered')
+        const responseHeaders = headersForCaller(raw)
+        responseHeaders.push(OUTCOME_HEADER, 'answered')
         if (headerOf(headers, REQUEST_ID_HEADER) === undefined) {
-          passed.push(REQUEST_ID_HEADER, call.id)
+          responseHeaders.push(REQUEST_ID_HEADER, call.id)
         }
-        res.writeHead(statusCode, statusMessage, passed)
+        res.writeHead(statusCode, statusMessage, responseHeaders)
       },
       onResponseData(controller, chunk) {
         if (refusal !== undefined) return
-        left -= chunk.length
+        bytesLeft -= chunk.length
         // The last bytes of a known length: the answer is whole, and one call is saved.
-        if (left === 0) return void res.end(chunk)
+        if (bytesLeft === 0) return void res.end(chunk)
         if (!res.write(chunk)) controller.pause()
       },
       onResponseEnd(_controller, trailers) {
-        if (refusal !== undefined) return finish(failed(refusal))
+        if (refusal !== undefined) return finish(failureResult(refusal))
         const names = Object.keys(trailers ?? {})
         if (names.length > 0) res.addTrailers(trailers as Record<string, string>)
         if (!res.writableEnded) res.end()
         finish({ kind: 'answered', status })
       },
       onResponseError(_controller, cause) {
-        finish(failed(describeError(cause)))
+        finish(failureResult(describeError(cause)))
       },
     }
 
-    const unsubscribe = cancellation.subscribe(() => control?.abort(givenUp()))
+    const unsubscribe = cancellation.subscribe(() => control?.abort(cancelledError()))
     res.on('drain', onDrain)
     client.dispatch(requestOptions(opts), handler)
   })
--- a/src/entry/body.ts
+++ b/src/entry/body.ts
@@ -10,7 +10,12 @@
   | { kind: 'none' }
   | { kind: 'buffered'; bytes: Buffer }
   /** `open` gives the stream to an attempt; once it is `started`, no other may use it. */
-  | { kind: 'streamed'; length: number | undefined; open(): Readable; started(): boolean }
+  | {
+      kind: 'streamed'
+      length: number | undefined
+      open(): Readable
+      isStarted(): boolean
+    }
 
 /** The caller broke off while its body was being read. */
 export const CALLER_LEFT = Symbol('caller left')
@@ -23,11 +28,11 @@
   const chunked = req.headers['transfer-encoding'] !== undefined
   const length = Number(req.headers['content-length'] ?? 0)
   if (!chunked && length === 0) return { kind: 'none' }
-  if (!chunked && length <= bufferLimit) return readWhole(req)
-  return streamed(req, chunked ? undefined : length)
+  if (!chunked && length <= bufferLimit) return readBuffered(req)
+  return streamBody(req, chunked ? undefined : length)
 }
 
-function readWhole(req: IncomingMessage): Promise<RequestBody | typeof CALLER_LEFT> {
+function readBuffered(req: IncomingMessage): Promise<RequestBody | typeof CALLER_LEFT> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     req.on('data', (chunk: Buffer) => chunks.push(chunk))
@@ -44,10 +49,10 @@
  * The request's bytes, read from the caller only when an attempt reads them: an attempt
  * that never connected has not touched the caller's stream.
  */
-function streamed(req: IncomingMessage, length: number | undefined): RequestBody {
-  let started = false
+function streamBody(req: IncomingMessage, length: number | undefined): RequestBody {
+  let isStarted = false
   const start = (stream: Readable) => {
-    started = true
+    isStarted = true
     req.on('data', (chunk: Buffer) => {
       if (!stream.push(chunk)) req.pause()
     })
@@ -60,9 +65,9 @@
   const open = () =>
     new Readable({
       read() {
-        if (!started) start(this)
+        if (!isStarted) start(this)
         req.resume()
       },
     })
-  return { kind: 'streamed', length, open, started: () => started }
+  return { kind: 'streamed', length, open, isStarted: () => isStarted }
 }
--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -12,8 +12,8 @@
   REQUEST_ID_HEADER,
   TEAM_HEADER,
 } from './constants.js'
-import { PRIORITIES } from './turns.js'
-import type { Priority } from './turns.js'
+import { PRIORITIES } from './fairQueue.js'
+import type { Priority } from './fairQueue.js'
 
 /** What the entry knows of a request before it reads the body. */
 export interface Call {
--- a/src/entry/chooser.ts
+++ b/src/entry/chooser.ts
@@ -5,7 +5,7 @@
  */
 import { monotonicMs } from '../shared/index.js'
 import { MAX_EXCLUDED_SHARE } from './constants.js'
-import { takesWork } from './target.js'
+import { acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
 /** A source of random numbers from 0 up to 1. */
@@ -55,7 +55,7 @@
   targets: readonly Target[],
   tried: ReadonlySet<Target>,
 ): Target[] {
-  const working = targets.filter((target) => takesWork(target))
+  const working = targets.filter((target) => acceptsRequests(target))
   const now = monotonicMs()
   const admitted = working.filter((target) => target.excludedUntil <= now)
   const excludedShare = 1 - admitted.length / Math.max(1, working.length)
--- a/src/entry/claimBook.ts
+++ b/src/entry/claimRegistry.ts
@@ -14,7 +14,7 @@
 }
 
 /** Remembered requests. */
-export interface ClaimBook {
+export interface ClaimRegistry {
   /** The claim if the id is known. */
   find(id: string): { state: ClaimState; token: string } | undefined
   /** Adds an id; false when the book is full. */
@@ -28,11 +28,11 @@
 }
 
 /** Creates an empty book. */
-export function createClaimBook(opts: {
+export function createClaimRegistry(opts: {
   memoryMs: number
   maxRecords: number
   now: () => number
-}): ClaimBook {
+}): ClaimRegistry {
   const { memoryMs, maxRecords, now } = opts
   const claims = new Map<string, { state: ClaimState; token: string; at: number }>()
 
--- a/src/entry/constants.ts
+++ b/src/entry/constants.ts
@@ -28,7 +28,7 @@
  * keep one (60 s where nothing else is set): closed from here, it would reset a request
  * that is on its way, and the caller could not know whether that ran.
  */
-export const KEEP_ALIVE_MS = 75_000
+export const KEEP_ALIVE_TIMEOUT_MS = 75_000
 /** Failures in a row after which a target is excluded. */
 export const EXCLUDE_AFTER_FAILURES = 3
 /** First time of exclusion, in ms; it doubles up to the cap. */
@@ -39,9 +39,9 @@
 /** Seconds after which a refused caller should come back. */
 export const RETRY_AFTER_S = 1
 /** Times that the owner of an unrepeatable request's id is asked while it is unsure. */
-export const ONCE_ASKS = 12
+export const ONCE_CLAIM_ATTEMPTS = 12
 /** Pause between two of them, in ms. */
-export const ONCE_PAUSE_MS = 200
+export const ONCE_CLAIM_PAUSE_MS = 200
 /** Longest pause before the second attempt of a request, in ms; it doubles up to the cap. */
 export const RETRY_BASE_MS = 5
 export const RETRY_CAP_MS = 100
--- a/src/entry/turns.ts
+++ b/src/entry/fairQueue.ts
@@ -9,7 +9,7 @@
 export type Priority = (typeof PRIORITIES)[number]
 
 /** A waiting request. */
-export interface Waiting {
+export interface QueuedRequest {
   priority: Priority
   team: string
 }
@@ -22,7 +22,7 @@
 }
 
 /** Waiting requests in order. */
-export interface Turns<T extends Waiting> {
+export interface FairQueue<T extends QueuedRequest> {
   size(): number
   add(item: T): void
   remove(item: T): void
@@ -33,17 +33,18 @@
    * most for its weight, in the last band that is not before the new one's.
    * Undefined when the new one itself is it.
    */
-  victimFor(item: Waiting): T | undefined
+  evictionCandidate(item: QueuedRequest): T | undefined
 }
 
 /** Creates empty queues; `weightOf` is asked at each turn. */
-export function createTurns<T extends Waiting>(
+export function createFairQueue<T extends QueuedRequest>(
   weightOf: (team: string) => number,
-): Turns<T> {
+): FairQueue<T> {
   const bands = new Map(PRIORITIES.map((p) => [p, new Map<string, TeamQueue<T>>()]))
   let size = 0
 
-  const shareOf = (team: string): number => Math.max(weightOf(team), Number.MIN_VALUE)
+  const effectiveWeight = (team: string): number =>
+    Math.max(weightOf(team), Number.MIN_VALUE)
 
   function leastServed(band: Map<string, TeamQueue<T>>): TeamQueue<T> | undefined {
     let best: TeamQueue<T> | undefined
@@ -53,11 +54,14 @@
     return best
   }
 
-  function longest(band: Map<string, TeamQueue<T>>, extra: Waiting | undefined) {
+  function longestQueue(
+    band: Map<string, TeamQueue<T>>,
+    extra: QueuedRequest | undefined,
+  ) {
     let best: { queue: TeamQueue<T>; length: number } | undefined
     for (const queue of band.values()) {
       const added = extra?.team === queue.team ? 1 : 0
-      const length = (queue.items.size + added) / shareOf(queue.team)
+      const length = (queue.items.size + added) / effectiveWeight(queue.team)
       if (!best || length > best.length) best = { queue, length }
     }
     return best
@@ -92,18 +96,18 @@
         const queue = leastServed(band)
         if (!queue) continue
         const [item] = queue.items
-        queue.pass += 1 / shareOf(queue.team)
+        queue.pass += 1 / effectiveWeight(queue.team)
         this.remove(item!)
         return item
       }
       return undefined
     },
-    victimFor(item) {
+    evictionCandidate(item) {
       const own = PRIORITIES.indexOf(item.priority)
       for (let at = PRIORITIES.length - 1; at >= own; at--) {
         const isOwnBand = at === own
         const band = bandOf(PRIORITIES[at]!)
-        const found = longest(band, isOwnBand ? item : undefined)
+        const found = longestQueue(band, isOwnBand ? item : undefined)
         if (!found) continue
         if (isOwnBand && !isLonger(found.length, item)) return undefined
         if (isOwnBand && found.queue.team === item.team) return undefined
@@ -114,7 +118,7 @@
   }
 
   /** Whether the longest queue is longer than the new request's team would be alone. */
-  function isLonger(length: number, item: Waiting): boolean {
-    return length > 1 / shareOf(item.team)
+  function isLonger(length: number, item: QueuedRequest): boolean {
+    return length > 1 / effectiveWeight(item.team)
   }
 }
--- a/src/entry/front.ts
+++ b/src/entry/front.ts
@@ -8,7 +8,7 @@
 import type { HttpBindings } from '@hono/node-server'
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response'
 import { Hono } from 'hono'
-import { KEEP_ALIVE_MS } from './constants.js'
+import { KEEP_ALIVE_TIMEOUT_MS } from './constants.js'
 import type { Router } from './router.js'
 
 /** The open front. */
@@ -39,7 +39,7 @@
   const server = await listen(app, host, port)
   // Large uploads may take long; the deadline of each request bounds it instead.
   server.requestTimeout = 0
-  server.keepAliveTimeout = KEEP_ALIVE_MS
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS
   const address = server.address() as { address: string; port: number }
 
   return {
--- a/src/entry/headers.ts
+++ b/src/entry/headers.ts
@@ -12,32 +12,32 @@
   'upgrade',
 ])
 /** Handled by the entry itself. */
-const NOT_TO_TARGET = new Set([...HOP_BY_HOP, 'expect', 'content-length'])
+const REMOVED_FOR_TARGET = new Set([...HOP_BY_HOP, 'expect', 'content-length'])
 /** A target's own outcome is not passed on; the entry says what it knows. */
-const NOT_TO_CALLER = new Set([...HOP_BY_HOP, OUTCOME_HEADER])
+const REMOVED_FOR_CALLER = new Set([...HOP_BY_HOP, OUTCOME_HEADER])
 /** Values of `connection` that name no other header. */
 const PLAIN_CONNECTION = /^(keep-alive|close)$/i
 
-function keep(raw: readonly string[], dropped: ReadonlySet<string>): string[] {
+function filterHeaders(raw: readonly string[], dropped: ReadonlySet<string>): string[] {
   const kept: string[] = []
   let listed: Set<string> | undefined
   for (let i = 0; i < raw.length; i += 2) {
     const name = raw[i]!
     const lower = name.toLowerCase()
-    if (lower === 'connection') listed = namesIn(raw[i + 1]!)
+    if (lower === 'connection') listed = connectionHeaderNames(raw[i + 1]!)
     if (!dropped.has(lower)) kept.push(name, raw[i + 1]!)
   }
-  return listed ? without(kept, listed) : kept
+  return listed ? removeHeaders(kept, listed) : kept
 }
 
 /** Headers that a `connection` header names, which then are hop by hop too. */
-function namesIn(connection: string): Set<string> | undefined {
+function connectionHeaderNames(connection: string): Set<string> | undefined {
   if (PLAIN_CONNECTION.test(connection)) return undefined
   const names = connection.toLowerCase().split(',')
   return new Set(names.map((name) => name.trim()))
 }
 
-function without(raw: readonly string[], names: ReadonlySet<string>): string[] {
+function removeHeaders(raw: readonly string[], names: ReadonlySet<string>): string[] {
   const kept: string[] = []
   for (let i = 0; i < raw.length; i += 2) {
     if (!names.has(raw[i]!.toLowerCase())) kept.push(raw[i]!, raw[i + 1]!)
@@ -47,10 +47,10 @@
 
 /** Headers of a request for the target. The length is set by whoever sends the body. */
 export function headersForTarget(raw: readonly string[]): string[] {
-  return keep(raw, NOT_TO_TARGET)
+  return filterHeaders(raw, REMOVED_FOR_TARGET)
 }
 
 /** Headers of an answer for the caller. */
 export function headersForCaller(raw: readonly string[]): string[] {
-  return keep(raw, NOT_TO_CALLER)
+  return filterHeaders(raw, REMOVED_FOR_CALLER)
 }
--- a/src/entry/healthDuty.ts
+++ b/src/entry/healthCheckAssignment.ts
@@ -3,32 +3,32 @@
  * rendezvous hashing, so that the work of a hall's checks is shared. An entry that falls
  * silent is left out, and its targets go to others.
  */
-import { byScore } from './rendezvous.js'
+import { rankByHash } from './rendezvous.js'
 
 /** Tells whether this entry is on duty for a target. */
-export interface HealthDuty {
-  isMine(job: string): boolean
+export interface HealthCheckAssignment {
+  isAssignedHere(job: string): boolean
 }
 
 /** Creates the duty roster. `reached` names the other entries of the hall that answer. */
-export function createHealthDuty(
+export function createHealthCheckAssignment(
   own: string,
   reached: () => readonly string[],
-): HealthDuty {
-  let roster = ''
-  let mine = new Map<string, boolean>()
+): HealthCheckAssignment {
+  let cachedNames = ''
+  let assignedHere = new Map<string, boolean>()
   return {
-    isMine(job) {
+    isAssignedHere(job) {
       const names = [own, ...reached()].sort()
-      const now = names.join(' ')
-      if (now !== roster) {
-        roster = now
-        mine = new Map()
+      const currentNames = names.join(' ')
+      if (currentNames !== cachedNames) {
+        cachedNames = currentNames
+        assignedHere = new Map()
       }
-      let found = mine.get(job)
+      let found = assignedHere.get(job)
       if (found === undefined) {
-        found = byScore(names, job)[0] === own
-        mine.set(job, found)
+        found = rankByHash(names, job)[0] === own
+        assignedHere.set(job, found)
       }
       return found
     },
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -2,7 +2,7 @@
 export * from './allotments.js'
 export * from './answers.js'
 export * from './chooser.js'
-export type { ClaimRecord } from './claimBook.js'
+export type { ClaimRecord } from './claimRegistry.js'
 export * from './constants.js'
 export * from './front.js'
 export * from './once.js'
--- a/src/entry/limiter.ts
+++ b/src/entry/limiter.ts
@@ -5,13 +5,13 @@
  */
 import { monotonicMs } from '../shared/index.js'
 import type { Cancellation } from './cancellation.js'
-import { createTurns } from './turns.js'
-import type { Priority, Waiting } from './turns.js'
+import { createFairQueue } from './fairQueue.js'
+import type { Priority, QueuedRequest } from './fairQueue.js'
 
 /** Weight of the latest request in the running mean. */
-const SMOOTHING = 0.05
+const MEAN_SMOOTHING = 0.05
 /** Multiple of the mean that must be left before the deadline. */
-const NEEDED_TIMES = 2
+const NEEDED_MEAN_MULTIPLE = 2
 /** But never more than this part of the caller's patience. */
 const MAX_NEEDED_SHARE = 0.5
 
@@ -32,9 +32,9 @@
   /** Resolves when the request may start or never will. After `admitted`, call `leave`. */
   admit(opts: AdmitOptions): Promise<Admission>
   /** Ends one admitted request, which held its place for so long. */
-  leave(heldMs: number): void
+  release(heldMs: number): void
   /** Admits as many waiting requests as now fit; call it when capacity changed. */
-  wake(): void
+  admitWaiting(): void
   inFlight(): number
   queued(): number
 }
@@ -49,29 +49,29 @@
   weightOf(team: string): number
 }
 
-interface Waiter extends Waiting {
+interface Waiter extends QueuedRequest {
   /** Monotonic time in ms at which the caller gives up. */
   deadline: number
   /** Time between its arrival and its deadline, in ms. */
-  patienceMs: number
+  allowedMs: number
   settle(how: Admission): void
 }
 
 /** Creates a limiter without requests. */
 export function createLimiter(opts: LimiterOptions): Limiter {
   const { capacity, maxQueue } = opts
-  const turns = createTurns<Waiter>(opts.weightOf)
+  const queue = createFairQueue<Waiter>(opts.weightOf)
   let inFlight = 0
   /** Running mean of the time that a request holds its place, in ms. */
-  let typicalMs = 0
+  let meanHeldMs = 0
 
-  function wake(): void {
-    if (turns.size() === 0) return
+  function admitWaiting(): void {
+    if (queue.size() === 0) return
     let free = capacity() - inFlight
     while (free > 0) {
-      const waiter = turns.next()
+      const waiter = queue.next()
       if (!waiter) return
-      if (comesTooLate(waiter)) {
+      if (isTooLate(waiter)) {
         waiter.settle('deadline passed')
         continue
       }
@@ -84,8 +84,11 @@
    * Whether the request would hardly be answered in time: sent now, it would most likely
    * end as "unknown", after using a slot for nothing.
    */
-  function comesTooLate({ deadline, patienceMs }: Waiter): boolean {
-    const needed = Math.min(typicalMs * NEEDED_TIMES, patienceMs * MAX_NEEDED_SHARE)
+  function isTooLate({ deadline, allowedMs }: Waiter): boolean {
+    const needed = Math.min(
+      meanHeldMs * NEEDED_MEAN_MULTIPLE,
+      allowedMs * MAX_NEEDED_SHARE,
+    )
     return deadline - monotonicMs() < needed
   }
 
@@ -100,9 +103,9 @@
         priority,
         team,
         deadline,
-        patienceMs: deadline - monotonicMs(),
+        allowedMs: deadline - monotonicMs(),
         settle(how) {
-          turns.remove(waiter)
+          queue.remove(waiter)
           clearTimeout(timer)
           unsubscribe()
           if (how === 'admitted') inFlight++
@@ -112,33 +115,33 @@
       const ms = Math.max(0, deadline - monotonicMs())
       const timer = setTimeout(() => waiter.settle('deadline passed'), ms)
       const unsubscribe = cancellation.subscribe(() => waiter.settle('caller left'))
-      turns.add(waiter)
+      queue.add(waiter)
     })
   }
 
   return {
     async admit(request) {
       if (request.cancellation.cancelled) return 'caller left'
-      if (turns.size() === 0 && inFlight < capacity()) {
+      if (queue.size() === 0 && inFlight < capacity()) {
         inFlight++
         return 'admitted'
       }
       if (request.deadline <= monotonicMs()) return 'deadline passed'
-      if (turns.size() >= maxQueue) {
-        const victim = turns.victimFor(request)
-        if (!victim) return 'queue full'
-        victim.settle('queue full')
+      if (queue.size() >= maxQueue) {
+        const evicted = queue.evictionCandidate(request)
+        if (!evicted) return 'queue full'
+        evicted.settle('queue full')
       }
       return wait(request)
     },
-    leave(heldMs) {
+    release(heldMs) {
       inFlight--
-      typicalMs += (heldMs - typicalMs) * SMOOTHING
-      wake()
+      meanHeldMs += (heldMs - meanHeldMs) * MEAN_SMOOTHING
+      admitWaiting()
     },
-    wake,
+    admitWaiting,
     inFlight: () => inFlight,
-    queued: () => turns.size(),
+    queued: () => queue.size(),
   }
 }
 
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -8,10 +8,10 @@
  */
 import { describeError } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { createClaimBook } from './claimBook.js'
-import type { ClaimRecord, ClaimState } from './claimBook.js'
-import { madeAt, ownerOf } from './requestIds.js'
-import type { EntryPlace } from './requestIds.js'
+import { createClaimRegistry } from './claimRegistry.js'
+import type { ClaimRecord, ClaimState } from './claimRegistry.js'
+import { createdAtSeconds, ownerOf } from './requestIds.js'
+import type { EntryLocation } from './requestIds.js'
 
 /** Whether a request may be sent. */
 export type Verdict =
@@ -39,9 +39,9 @@
 
 /** Options of {@link createOnce}. */
 export interface OnceOptions {
-  own: EntryPlace
+  own: EntryLocation
   /** Entries of all halls, this one included. */
-  entries: readonly EntryPlace[]
+  entries: readonly EntryLocation[]
   peers: OncePeers
   /** Time for which a claim is remembered, in ms. */
   memoryMs: number
@@ -83,32 +83,36 @@
 /** Most claims that an entry remembers. */
 const MAX_CLAIMS = 200_000
 /** Time for which it is remembered who stands in for an owner, in ms. */
-const STAND_IN_MS = 500
+const STAND_IN_CACHE_MS = 500
 /** Ids dated so far ahead of the own clock are not accepted, in s. */
-const MAX_AHEAD_S = 15
+const MAX_ID_AHEAD_S = 15
 /**
  * Ids made so long after the start are new for certain, in s. An earlier life accepted
- * none dated later than its end and {@link MAX_AHEAD_S}; the rest covers clocks that differ.
+ * none dated later than its end and {@link MAX_ID_AHEAD_S}; the rest covers clocks that differ.
  */
 const CLOCK_MARGIN_S = 30
 const unsure = (reason: string): Verdict => ({ kind: 'unsure', reason, standIn: false })
-const away = (reason: string): Verdict => ({ kind: 'unsure', reason, standIn: true })
+const ownerUnavailable = (reason: string): Verdict => ({
+  kind: 'unsure',
+  reason,
+  standIn: true,
+})
 
 /** Creates the memory of one life. */
 export function createOnce(opts: OnceOptions): Once {
   const { own, entries, peers, memoryMs, now, log } = opts
   const startedAt = now()
   const startedSeconds = opts.wallSeconds()
-  const newBook = () => createClaimBook({ memoryMs, maxRecords: MAX_CLAIMS, now })
-  const book = newBook()
+  const newRegistry = () => createClaimRegistry({ memoryMs, maxRecords: MAX_CLAIMS, now })
+  const ownClaims = newRegistry()
   /** Memory of entries that stopped as planned, until their next life takes it back. */
-  const legacies = new Map<
+  const handovers = new Map<
     string,
-    { book: ReturnType<typeof newBook>; complete: boolean }
+    { registry: ReturnType<typeof newRegistry>; complete: boolean }
   >()
   /** The entry that granted each running request of this one. */
   const grantedBy = new Map<string, string>()
-  const ownHallFirst = [...entries]
+  const peersOwnHallFirst = [...entries]
     .filter((entry) => entry.id !== own.id)
     .sort((a, b) => Number(a.hall !== own.hall) - Number(b.hall !== own.hall))
   /** Who stands in for an owner, as last found out. */
@@ -117,33 +121,40 @@
    * Entries that may hold the memory of an earlier life. Until each has been asked, one may
    * stand in for this entry, and a later life may take that memory for the newest.
    */
-  const unasked = new Set(opts.firstLife ? [] : ownHallFirst.map(({ id }) => id))
+  const unaskedPeers = new Set(
+    opts.firstLife ? [] : peersOwnHallFirst.map(({ id }) => id),
+  )
   /** Those of them that did not answer, which is logged once each. */
-  const silent = new Set<string>()
+  const silentPeers = new Set<string>()
   let recovered = opts.firstLife
-  let left = false
+  let isLeaving = false
 
-  function hasAsked(): boolean {
-    for (const entry of unasked) if (opts.isGone(entry)) unasked.delete(entry)
-    return recovered || unasked.size === 0
+  function hasAskedAll(): boolean {
+    for (const entry of unaskedPeers) if (opts.isGone(entry)) unaskedPeers.delete(entry)
+    return recovered || unaskedPeers.size === 0
   }
 
   /** Whether an id that is not in the book is new for certain, once everyone is asked. */
-  function isSure(id: string): boolean {
+  function isCertainlyNew(id: string): boolean {
     if (recovered || now() - startedAt >= memoryMs) return true
-    return madeAt(id) > startedSeconds + CLOCK_MARGIN_S
+    return createdAtSeconds(id) > startedSeconds + CLOCK_MARGIN_S
   }
 
-  function claim(id: string, token: string, from: typeof book, sure: boolean): Verdict {
-    const known = from.find(id)
-    const sameRequest = known?.token === token && known.state === 'running'
-    if (sameRequest) return { kind: 'first' }
+  function claim(
+    id: string,
+    token: string,
+    registry: typeof ownClaims,
+    isCertain: boolean,
+  ): Verdict {
+    const known = registry.find(id)
+    const isSameRequest = known?.token === token && known.state === 'running'
+    if (isSameRequest) return { kind: 'first' }
     if (known) return { kind: 'repeat', state: known.state }
-    const ahead = madeAt(id) > opts.wallSeconds() + MAX_AHEAD_S
-    if (ahead) return unsure('the id is dated in the future; check the clocks')
-    if (left) return away('the owner of the id is stopping')
-    if (!sure) return unsure('the owner of the id has started anew')
-    if (!from.add({ id, state: 'running', ageMs: 0, token }))
+    const isInFuture = createdAtSeconds(id) > opts.wallSeconds() + MAX_ID_AHEAD_S
+    if (isInFuture) return unsure('the id is dated in the future; check the clocks')
+    if (isLeaving) return ownerUnavailable('the owner of the id is stopping')
+    if (!isCertain) return unsure('the owner of the id has started anew')
+    if (!registry.add({ id, state: 'running', ageMs: 0, token }))
       return unsure('too many requests are remembered')
     return { kind: 'first' }
   }
@@ -151,12 +162,12 @@
   /** Decides as the owner, or for an owner whose memory is here. */
   function decide(id: string, owner: string, token: string): Verdict {
     if (owner === own.id) {
-      if (!hasAsked()) return away('the owner of the id lacks its memory')
-      return claim(id, token, book, isSure(id))
+      if (!hasAskedAll()) return ownerUnavailable('the owner of the id lacks its memory')
+      return claim(id, token, ownClaims, isCertainlyNew(id))
     }
-    const legacy = legacies.get(owner)
-    if (!legacy) return away('this entry does not stand in for the owner')
-    return claim(id, token, legacy.book, legacy.complete)
+    const legacy = handovers.get(owner)
+    if (!legacy) return ownerUnavailable('this entry does not stand in for the owner')
+    return claim(id, token, legacy.registry, legacy.complete)
   }
 
   async function ask(
@@ -166,10 +177,11 @@
     token: string,
   ): Promise<Verdict> {
     if (peer === own.id) return decide(id, owner, token)
-    if (!opts.isReached(peer)) return away(`${peer}, which owns the id, does not answer`)
+    if (!opts.isReached(peer))
+      return ownerUnavailable(`${peer}, which owns the id, does not answer`)
     return peers
       .claim(peer, id, owner, token)
-      .catch(() => away(`${peer}, which owns the id, does not answer`))
+      .catch(() => ownerUnavailable(`${peer}, which owns the id, does not answer`))
   }
 
   /**
@@ -181,7 +193,10 @@
     owner: string,
     token: string,
   ): Promise<[string, Verdict]> {
-    const none: [string, Verdict] = [owner, away('nobody stands in for the owner')]
+    const none: [string, Verdict] = [
+      owner,
+      ownerUnavailable('nobody stands in for the owner'),
+    ]
     const known = standIns.get(owner)
     if (known && now() < known.until) {
       if (known.by === undefined) return none
@@ -189,21 +204,24 @@
       // It may have given the memory back to the owner's next life meanwhile.
       return verdict.kind === 'unsure' && verdict.standIn ? none : [known.by, verdict]
     }
-    for (const { id: other } of [own, ...ownHallFirst]) {
+    for (const { id: other } of [own, ...peersOwnHallFirst]) {
       if (other === owner) continue
       const verdict = await ask(other, id, owner, token)
       if (verdict.kind === 'unsure') continue
-      standIns.set(owner, { by: other, until: now() + STAND_IN_MS })
+      standIns.set(owner, { by: other, until: now() + STAND_IN_CACHE_MS })
       return [other, verdict]
     }
-    standIns.set(owner, { by: undefined, until: now() + STAND_IN_MS })
+    standIns.set(owner, { by: undefined, until: now() + STAND_IN_CACHE_MS })
     return none
   }
 
   /** Notes the state in whichever book knows the id. */
-  function note(id: string, state: ClaimState | 'not-run'): void {
-    const books = [book, ...[...legacies.values()].map((legacy) => legacy.book)]
-    for (const each of books) {
+  function recordState(id: string, state: ClaimState | 'not-run'): void {
+    const registries = [
+      ownClaims,
+      ...[...handovers.values()].map((legacy) => legacy.registry),
+    ]
+    for (const each of registries) {
       if (state === 'not-run') each.remove(id)
       else each.set(id, state)
     }
@@ -212,13 +230,13 @@
   async function collectFrom(peer: string): Promise<Legacy | undefined> {
     try {
       const legacy = await peers.collect(peer)
-      unasked.delete(peer)
+      unaskedPeers.delete(peer)
       return legacy
     } catch (cause) {
-      if (!silent.has(peer)) {
+      if (!silentPeers.has(peer)) {
         log.event('onceMemoryNotGiven', { peer, reason: describeError(cause) })
       }
-      silent.add(peer)
+      silentPeers.add(peer)
       return undefined
     }
   }
@@ -237,53 +255,56 @@
     async end(id, state) {
       const by = grantedBy.get(id)
       grantedBy.delete(id)
-      note(id, state)
+      recordState(id, state)
       // A lost message leaves the id claimed there: a repeat is then told "unknown".
       if (by !== undefined && by !== own.id) {
         await peers.settle(by, id, state).catch(() => undefined)
       }
     },
     async recover() {
-      if (hasAsked()) return true
-      const found = await Promise.all([...unasked].map(collectFrom))
+      if (hasAskedAll()) return true
+      const found = await Promise.all([...unaskedPeers].map(collectFrom))
       for (const record of found.flatMap((each) => each?.claims ?? [])) {
-        if (book.find(record.id) === undefined) book.add(record)
+        if (ownClaims.find(record.id) === undefined) ownClaims.add(record)
       }
       recovered = found.some((each) => each?.complete)
-      const done = hasAsked()
+      const done = hasAskedAll()
       if (done && !recovered) log.event('onceMemoryMissing')
       return done
     },
     async leave() {
-      if (left) return
-      left = true
-      const complete = recovered || (hasAsked() && now() - startedAt >= memoryMs)
+      if (isLeaving) return
+      isLeaving = true
+      const complete = recovered || (hasAskedAll() && now() - startedAt >= memoryMs)
       // To one peer only: after a lost reply a second one would stand in as well.
-      const heir = ownHallFirst.find(({ id }) => opts.isReached(id))
-      if (!heir) {
+      const successor = peersOwnHallFirst.find(({ id }) => opts.isReached(id))
+      if (!successor) {
         log.event('onceMemoryNotLeft', { reason: 'no other entry is reached' })
         return
       }
-      const legacy = { claims: book.records(), complete }
-      await peers.handOver(heir.id, legacy).catch((cause) => {
-        log.event('onceMemoryNotLeft', { peer: heir.id, reason: describeError(cause) })
+      const legacy = { claims: ownClaims.records(), complete }
+      await peers.handOver(successor.id, legacy).catch((cause) => {
+        log.event('onceMemoryNotLeft', {
+          peer: successor.id,
+          reason: describeError(cause),
+        })
       })
     },
     answer: {
       claim: decide,
-      settle: note,
+      settle: recordState,
       collect(from) {
-        const legacy = legacies.get(from)
-        legacies.delete(from)
+        const legacy = handovers.get(from)
+        handovers.delete(from)
         return {
-          claims: legacy?.book.records() ?? [],
+          claims: legacy?.registry.records() ?? [],
           complete: legacy?.complete ?? false,
         }
       },
       handOver(from, { claims, complete }) {
-        const legacy = { book: newBook(), complete: complete && !left }
-        for (const record of claims) legacy.book.add(record)
-        legacies.set(from, legacy)
+        const legacy = { registry: newRegistry(), complete: complete && !isLeaving }
+        for (const record of claims) legacy.registry.add(record)
+        handovers.set(from, legacy)
       },
     },
   }
--- a/src/entry/rendezvous.ts
+++ b/src/entry/rendezvous.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto'
 
 /** Names by their score for the key, the highest first. */
-export function byScore(names: readonly string[], key: string): string[] {
+export function rankByHash(names: readonly string[], key: string): string[] {
   const scored = names.map((name) => {
     const score = createHash('sha1').update(`${name} ${key}`).digest('hex')
     return { name, score }
--- a/src/entry/retryBudget.ts
+++ b/src/entry/retryBudget.ts
@@ -1,7 +1,7 @@
 /** Keeps retries to a share of fresh requests, so that an outage is not multiplied. */
 
 /** Most retries saved up. */
-const MAX_SAVED = 20
+const MAX_SAVED_RETRIES = 20
 
 /** A budget of retries. */
 export interface RetryBudget {
@@ -13,14 +13,14 @@
 
 /** Creates a budget that grows by `retryShare` for each fresh request. */
 export function createRetryBudget(retryShare: number): RetryBudget {
-  let saved = 1
+  let available = 1
   return {
     deposit() {
-      saved = Math.min(MAX_SAVED, saved + retryShare)
+      available = Math.min(MAX_SAVED_RETRIES, available + retryShare)
     },
     withdraw() {
-      if (saved < 1) return false
-      saved -= 1
+      if (available < 1) return false
+      available -= 1
       return true
     },
   }
--- a/src/entry/targetLoop.ts
+++ b/src/entry/retryLoop.ts
@@ -15,7 +15,7 @@
 import { REQUEST_ID_HEADER, RETRY_BASE_MS, RETRY_CAP_MS } from './constants.js'
 import { headersForTarget } from './headers.js'
 import type { RetryBudget } from './retryBudget.js'
-import { takesWork } from './target.js'
+import { acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
 /** One request on its way. */
@@ -28,15 +28,15 @@
   cancellation: Cancellation
 }
 
-/** Options of {@link createTargetLoop}. */
-export interface TargetLoopOptions {
+/** Options of {@link createRetryLoop}. */
+export interface RetryLoopOptions {
   /** Attempts per request at the most. */
   attempts: number
   choose: Policy
   budget: RetryBudget
   targets(service: string): readonly Target[]
   log: Logger
-  noteAttempt(service: string, result: AttemptResult['kind']): void
+  recordAttempt(service: string, result: AttemptResult['kind']): void
 }
 
 type Failure = Extract<AttemptResult, { kind: 'not-run' | 'unknown' }>
@@ -51,13 +51,13 @@
 }
 
 /** Creates the function that sends a request; it never rejects. */
-export function createTargetLoop(opts: TargetLoopOptions) {
+export function createRetryLoop(opts: RetryLoopOptions) {
   const { budget, log } = opts
 
   return async function tryTargets(exchange: Exchange): Promise<AttemptResult> {
     const { call, cancellation } = exchange
     const tried = new Set<Target>()
-    let worst = noTarget
+    let worstFailure = noTarget
     for (let attempt = 1; attempt <= opts.attempts; attempt++) {
       if (attempt > 1) {
         if (!budget.withdraw()) break
@@ -68,19 +68,19 @@
       if (candidates.length === 0) break
       const target = opts.choose(candidates, Math.random)
       tried.add(target)
-      noteRoute(call, target, candidates, attempt)
+      logRoute(call, target, candidates, attempt)
       const result = await attemptAt(target, exchange)
-      opts.noteAttempt(call.service, result.kind)
+      opts.recordAttempt(call.service, result.kind)
       if (!isFailure(result)) return result
-      noteFailure(call, target, result, attempt)
+      logFailure(call, target, result, attempt)
       // Once an attempt may have run, a later one that did not changes nothing.
-      if (worst.kind !== 'unknown') worst = result
+      if (worstFailure.kind !== 'unknown') worstFailure = result
       if (!mayRepeat(result, exchange) || cancellation.cancelled) break
     }
-    return worst
+    return worstFailure
   }
 
-  function noteRoute(
+  function logRoute(
     call: Call,
     target: Target,
     candidates: readonly Target[],
@@ -94,7 +94,7 @@
     log.event('routed', decision)
   }
 
-  function noteFailure(call: Call, target: Target, result: Failure, attempt: number) {
+  function logFailure(call: Call, target: Target, result: Failure, attempt: number) {
     const { kind, reason } = result
     const { vm, job } = target
     log.event('attemptFailed', { request: call.id, vm, job, kind, reason, attempt })
@@ -104,7 +104,7 @@
 /** Whether the request may be sent once more after this failure. */
 function mayRepeat(result: Failure, { call, body }: Exchange): boolean {
   // Bytes that were taken from the caller's stream cannot be sent again.
-  if (body.kind === 'streamed' && body.started()) return false
+  if (body.kind === 'streamed' && body.isStarted()) return false
   return result.kind === 'not-run' || call.repeatable
 }
 
@@ -114,12 +114,12 @@
   try {
     const connection = await target.acquire()
     if (connection.isErr()) {
-      target.noteAttempt(false)
+      target.recordAttempt(false)
       const reason = connection.error.message
       return { kind: 'not-run', reason, refusedByTarget: false }
     }
     const client = connection.value
-    if (!takesWork(target)) {
+    if (!acceptsRequests(target)) {
       target.release(client, true)
       return { kind: 'not-run', reason: 'target is leaving', refusedByTarget: true }
     }
@@ -128,13 +128,13 @@
     const result = await runAttempt({ client, call, headers, body, res, cancellation })
     const refused = result.kind === 'not-run' && result.refusedByTarget
     target.release(client, result.kind === 'answered' || refused)
-    if (result.kind !== 'caller-left') target.noteAttempt(wentWell(result))
+    if (result.kind !== 'caller-left') target.recordAttempt(isSuccess(result))
     return result
   } finally {
     target.inFlight--
   }
 }
 
-function wentWell(result: AttemptResult): boolean {
+function isSuccess(result: AttemptResult): boolean {
   return result.kind === 'answered' && result.status < 500
 }
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -17,14 +17,14 @@
 import type { Cancellation } from './cancellation.js'
 import { POLICIES } from './chooser.js'
 import type { PolicyName } from './chooser.js'
-import { ONCE_ASKS, ONCE_PAUSE_MS } from './constants.js'
+import { ONCE_CLAIM_ATTEMPTS, ONCE_CLAIM_PAUSE_MS } from './constants.js'
 import { createLimiter } from './limiter.js'
 import type { Admission, Limiter } from './limiter.js'
 import type { Once, Verdict } from './once.js'
 import { createRetryBudget } from './retryBudget.js'
-import { takesWork } from './target.js'
-import { createTargetLoop } from './targetLoop.js'
-import type { Exchange } from './targetLoop.js'
+import { acceptsRequests } from './target.js'
+import { createRetryLoop } from './retryLoop.js'
+import type { Exchange } from './retryLoop.js'
 import type { TargetView } from './targetView.js'
 
 /** Serves requests. */
@@ -96,13 +96,13 @@
     latency: metrics.latency.labels({ service }),
   }))
 
-  const tryTargets = createTargetLoop({
+  const tryTargets = createRetryLoop({
     attempts: cfg.requests.attempts,
     choose: POLICIES[opts.policy ?? 'twoChoices'](),
     budget,
     targets: view.targets,
     log,
-    noteAttempt: (service, result) => metricsOf(service).attempt(result).inc(),
+    recordAttempt: (service, result) => metricsOf(service).attempt(result).inc(),
   })
 
   const lineOf = (service: string): ServiceLine | undefined =>
@@ -123,7 +123,7 @@
   function slotsOf(service: string): number {
     let slots = 0
     for (const target of view.targets(service))
-      if (takesWork(target)) slots += target.slots
+      if (acceptsRequests(target)) slots += target.slots
     return slots
   }
 
@@ -131,7 +131,7 @@
     Math.min(opts.usable(service), slotsOf(service))
 
   const wakeAll = () => {
-    for (const limiter of limiters.values()) limiter.wake()
+    for (const limiter of limiters.values()) limiter.admitWaiting()
   }
   view.subscribe(wakeAll)
   table.subscribe(() => {
@@ -156,16 +156,16 @@
       return
     }
     const call = read.value
-    const giveUp = createCancellation()
-    const timer = setTimeout(giveUp.cancel, call.deadline - call.arrivedAt)
-    res.on('close', giveUp.cancel)
-    const ending = await serveCall(call, req, res, giveUp)
+    const cancellation = createCancellation()
+    const timer = setTimeout(cancellation.cancel, call.deadline - call.arrivedAt)
+    res.on('close', cancellation.cancel)
+    const ending = await serveCall(call, req, res, cancellation)
     clearTimeout(timer)
     if (ending === 'broken') res.destroy()
-    const known = lineOf(call.service) ? call.service : ''
-    const mine = metricsOf(known)
-    mine.outcome(ending).inc()
-    mine.latency.observe((monotonicMs() - call.arrivedAt) / 1000)
+    const serviceLabel = lineOf(call.service) ? call.service : ''
+    const serviceMetrics = metricsOf(serviceLabel)
+    serviceMetrics.outcome(ending).inc()
+    serviceMetrics.latency.observe((monotonicMs() - call.arrivedAt) / 1000)
     if (log.enabled('requestEnded')) {
       log.event('requestEnded', {
         request: call.id,
@@ -208,20 +208,20 @@
     const admittedAt = monotonicMs()
     try {
       const ready = { ...exchange, body }
-      const guarded = !call.repeatable && call.idGiven
-      return guarded ? await serveOnce(ready) : await sendTo(ready)
+      const isGuarded = !call.repeatable && call.idGiven
+      return isGuarded ? await serveOnce(ready) : await sendToTarget(ready)
     } finally {
-      limiter.leave(monotonicMs() - admittedAt)
+      limiter.release(monotonicMs() - admittedAt)
     }
   }
 
   /** Asks a few times while the owner is being replaced. */
-  async function beginOnce({ call, cancellation }: Exchange): Promise<Verdict> {
+  async function claimOnce({ call, cancellation }: Exchange): Promise<Verdict> {
     const token = nanoid()
     let verdict = await opts.once.begin(call.id, token)
-    const mayChange = () => verdict.kind === 'unsure' && verdict.standIn
-    for (let asked = 1; mayChange() && asked < ONCE_ASKS; asked++) {
-      await sleep(ONCE_PAUSE_MS)
+    const isStandInPossible = () => verdict.kind === 'unsure' && verdict.standIn
+    for (let asked = 1; isStandInPossible() && asked < ONCE_CLAIM_ATTEMPTS; asked++) {
+      await sleep(ONCE_CLAIM_PAUSE_MS)
       if (cancellation.cancelled) break
       verdict = await opts.once.begin(call.id, token)
     }
@@ -231,32 +231,32 @@
   /** An unrepeatable request that its caller may send again: sent only if it is new. */
   async function serveOnce(exchange: Exchange): Promise<Ending> {
     const { id } = exchange.call
-    const verdict = await beginOnce(exchange)
+    const verdict = await claimOnce(exchange)
     if (verdict.kind === 'unsure') return refuseAs(exchange, 'unsure', verdict.reason)
     if (verdict.kind === 'repeat') {
       return refuseAs(exchange, 'repeat', `the first one: ${verdict.state}`)
     }
-    const ending = await sendTo(exchange)
+    const ending = await sendToTarget(exchange)
     const state = ending === 'broken' || ending === 'caller-left' ? 'unknown' : ending
     void opts.once.end(id, state)
     return ending
   }
 
-  async function sendTo(exchange: Exchange): Promise<Ending> {
+  async function sendToTarget(exchange: Exchange): Promise<Ending> {
     const result = await tryTargets(exchange)
     if (result.kind === 'answered' || result.kind === 'broken') return result.kind
     if (result.kind === 'caller-left' || exchange.res.destroyed) return 'caller-left'
-    const late = exchange.cancellation.cancelled
+    const isDeadlinePassed = exchange.cancellation.cancelled
     if (result.kind === 'unknown') {
       return refuseAs(
         exchange,
-        late ? 'deadline after sending' : 'no answer',
+        isDeadlinePassed ? 'deadline after sending' : 'no answer',
         result.reason,
       )
     }
     return refuseAs(
       exchange,
-      late ? 'deadline before sending' : 'no target',
+      isDeadlinePassed ? 'deadline before sending' : 'no target',
       result.reason,
     )
   }
--- a/src/entry/target.ts
+++ b/src/entry/target.ts
@@ -24,18 +24,18 @@
   /** The target itself says that it drains, to this entry or to another one. */
   draining: boolean
   /** It said so to this entry. */
-  saidDraining: boolean
+  reportsDraining: boolean
   /** The address answered as somebody else. */
-  mismatched: boolean
+  isMismatched: boolean
   /** Monotonic time in ms until which it is excluded; 0 when it is not. */
   excludedUntil: number
   failuresInRow: number
   acquire(): Promise<Result<Client, RillshuntError>>
   release(client: Client, reusable: boolean): void
   /** Notes what another entry was told. */
-  notePeerDraining(draining: boolean): void
+  setPeerDraining(draining: boolean): void
   /** Notes how an attempt went. */
-  noteAttempt(wentWell: boolean): void
+  recordAttempt(isSuccess: boolean): void
   close(): Promise<void>
 }
 
@@ -50,7 +50,7 @@
    * Whether this entry is the one that asks the target for its health.
    * @default always
    */
-  onDuty?: () => boolean
+  isHealthCheckAssigned?: () => boolean
   /** Called when the target has told this entry that it drains, or no longer does. */
   onDraining?: () => void
   log: Logger
@@ -60,15 +60,15 @@
 export function createTarget(opts: TargetOptions): Target {
   const { identity, log } = opts
   const stopping = createStopController()
-  let exclusions = 0
+  let exclusionsInRow = 0
   let peerDraining = false
 
   const connections = createTargetConnections({
     identity,
     connectTimeoutMs: opts.connectTimeoutMs,
     onMismatch(found) {
-      if (!target.mismatched) log.event('identityMismatch', { ...identity, found })
-      target.mismatched = true
+      if (!target.isMismatched) log.event('identityMismatch', { ...identity, found })
+      target.isMismatched = true
     },
   })
 
@@ -82,20 +82,20 @@
     active: true,
     listedLeaving: false,
     draining: false,
-    saidDraining: false,
-    mismatched: false,
+    reportsDraining: false,
+    isMismatched: false,
     excludedUntil: 0,
     failuresInRow: 0,
     acquire: connections.acquire,
     release: connections.release,
-    notePeerDraining(draining) {
+    setPeerDraining(draining) {
       peerDraining = draining
       updateDraining('peer')
     },
-    noteAttempt(wentWell) {
-      if (wentWell) {
+    recordAttempt(isSuccess) {
+      if (isSuccess) {
         target.failuresInRow = 0
-        exclusions = 0
+        exclusionsInRow = 0
         return
       }
       target.failuresInRow++
@@ -110,8 +110,8 @@
 
   function exclude(): void {
     if (target.excludedUntil > monotonicMs()) return
-    const ms = Math.min(EXCLUDE_CAP_MS, EXCLUDE_BASE_MS * 2 ** exclusions)
-    exclusions++
+    const ms = Math.min(EXCLUDE_CAP_MS, EXCLUDE_BASE_MS * 2 ** exclusionsInRow)
+    exclusionsInRow++
     target.excludedUntil = monotonicMs() + ms
     log.event('targetExcluded', { ...identity, service: opts.service, ms })
   }
@@ -126,41 +126,41 @@
 
   async function watchHealth(): Promise<void> {
     while (!stopping.signal.aborted) {
-      if (mustAsk()) await askHealth()
+      if (isCheckDue()) await checkHealth()
       await sleep(jittered(opts.healthIntervalMs), stopping.signal)
     }
   }
 
   /** An excluded or foreign target is asked by each entry for itself. */
-  function mustAsk(): boolean {
-    const { excludedUntil, mismatched, saidDraining } = target
-    if (excludedUntil > 0 || mismatched || saidDraining) return true
-    return opts.onDuty?.() ?? true
+  function isCheckDue(): boolean {
+    const { excludedUntil, isMismatched, reportsDraining } = target
+    if (excludedUntil > 0 || isMismatched || reportsDraining) return true
+    return opts.isHealthCheckAssigned?.() ?? true
   }
 
-  async function askHealth(): Promise<void> {
+  async function checkHealth(): Promise<void> {
     const health = await connections.health()
     if (stopping.signal.aborted) return
     if (health.isOk()) {
-      target.mismatched = false
+      target.isMismatched = false
       target.reportedLoad = health.value.load
       target.inFlightAtReport = target.inFlight
       noteDraining(health.value.state === 'draining')
       readmit()
     } else {
-      target.noteAttempt(false)
+      target.recordAttempt(false)
     }
   }
 
   function noteDraining(draining: boolean): void {
-    if (draining === target.saidDraining) return
-    target.saidDraining = draining
+    if (draining === target.reportsDraining) return
+    target.reportsDraining = draining
     updateDraining('health')
     opts.onDraining?.()
   }
 
   function updateDraining(source: 'health' | 'peer'): void {
-    const draining = target.saidDraining || peerDraining
+    const draining = target.reportsDraining || peerDraining
     if (draining && !target.draining) log.event('targetLeaving', { ...identity, source })
     target.draining = draining
   }
@@ -170,7 +170,7 @@
 }
 
 /** Whether the target may get new work. */
-export function takesWork(target: Target): boolean {
-  const { active, listedLeaving, draining, mismatched } = target
-  return active && !listedLeaving && !draining && !mismatched
+export function acceptsRequests(target: Target): boolean {
+  const { active, listedLeaving, draining, isMismatched } = target
+  return active && !listedLeaving && !draining && !isMismatched
 }
--- a/src/entry/targetConnection.ts
+++ b/src/entry/targetConnection.ts
@@ -57,7 +57,7 @@
 ): TargetConnections {
   const { identity, connectTimeoutMs } = opts
   const idle: Client[] = []
-  const lost = new WeakSet<Client>()
+  const disconnected = new WeakSet<Client>()
   let closed = false
 
   const fail = (step: string, cause: unknown) =>
@@ -76,7 +76,7 @@
       bodyTimeout: 0,
     })
     client.on('disconnect', () => {
-      lost.add(client)
+      disconnected.add(client)
       drop(client)
     })
     return client
@@ -88,14 +88,14 @@
     client.destroy().catch(() => {})
   }
 
-  async function prove(client: Client): Promise<Result<Health, RillshuntError>> {
-    const answer = await askHealth(client, connectTimeoutMs)
+  async function verify(client: Client): Promise<Result<Health, RillshuntError>> {
+    const answer = await requestHealth(client, connectTimeoutMs)
     if (answer.isErr()) {
       drop(client)
       return fail('connect', answer.error)
     }
     const health = answer.value
-    if (isSame(health, identity)) return ok(health)
+    if (matchesIdentity(health, identity)) return ok(health)
     opts.onMismatch(health)
     drop(client)
     return fail('identity', `answers as ${health.vm}/${health.incarnation}/${health.job}`)
@@ -103,16 +103,16 @@
 
   async function acquire(): Promise<Result<Client, RillshuntError>> {
     if (closed) return fail('connect', 'target is removed')
-    const free = idle.pop()
-    if (free) return ok(free)
+    const idleClient = idle.pop()
+    if (idleClient) return ok(idleClient)
     const client = connect()
-    const proof = await prove(client)
-    return proof.map(() => client)
+    const verified = await verify(client)
+    return verified.map(() => client)
   }
 
   function release(client: Client, reusable: boolean): void {
-    const keep = reusable && !closed && !lost.has(client)
-    if (keep && idle.length < MAX_IDLE_CONNECTIONS) idle.push(client)
+    const isKept = reusable && !closed && !disconnected.has(client)
+    if (isKept && idle.length < MAX_IDLE_CONNECTIONS) idle.push(client)
     else drop(client)
   }
 
@@ -121,9 +121,9 @@
     release,
     async health() {
       const client = idle.pop() ?? connect()
-      const proof = await prove(client)
-      if (proof.isOk()) release(client, true)
-      return proof
+      const verified = await verify(client)
+      if (verified.isOk()) release(client, true)
+      return verified
     },
     async close() {
       closed = true
@@ -136,7 +136,10 @@
  * Asks for health through a bare handler: at one check a second and target, the comfort of
  * `request` with an abort signal showed in the idle processor time.
  */
-function askHealth(client: Client, timeoutMs: number): Promise<Result<Health, Error>> {
+function requestHealth(
+  client: Client,
+  timeoutMs: number,
+): Promise<Result<Health, Error>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     let control: Dispatcher.DispatchController | undefined
@@ -166,7 +169,7 @@
   (cause) => cause as Error,
 )
 
-function isSame(health: Health, identity: TargetIdentity): boolean {
+function matchesIdentity(health: Health, identity: TargetIdentity): boolean {
   const { vm, incarnation, job } = identity
   return health.vm === vm && health.incarnation === incarnation && health.job === job
 }
--- a/src/entry/targetView.ts
+++ b/src/entry/targetView.ts
@@ -18,8 +18,8 @@
 import { createStopController, jittered, sleep } from '../shared/index.js'
 import type { Logger, Metrics } from '../shared/index.js'
 import type { TableHolder } from '../table/index.js'
-import { createHealthDuty } from './healthDuty.js'
-import { createTarget, takesWork } from './target.js'
+import { createHealthCheckAssignment } from './healthCheckAssignment.js'
+import { createTarget, acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
 /** The targets that this entry knows. */
@@ -64,9 +64,9 @@
   const byService = new Map<string, Target[]>()
   const listeners = new Set<() => void>()
   const stopping = createStopController()
-  const duty = createHealthDuty(cfg.node.id, opts.reachedEntries)
+  const healthChecks = createHealthCheckAssignment(cfg.node.id, opts.reachedEntries)
   /** Targets without a row that still run requests of this entry. */
-  const removed = new Set<Target>()
+  const removedTargets = new Set<Target>()
   let listedLeaving = new Set<string>()
   let listed: Set<string> | undefined
 
@@ -85,7 +85,7 @@
     for (const target of byJob.values()) {
       if (vms.has(vmKey(hall, target.vm))) updateState(target)
     }
-    report()
+    publishChange()
   }
 
   function updateJob(key: string): void {
@@ -110,7 +110,7 @@
       slots,
       connectTimeoutMs: cfg.requests.connect_timeout,
       healthIntervalMs: cfg.requests.health_interval,
-      onDuty: () => duty.isMine(id),
+      isHealthCheckAssigned: () => healthChecks.isAssignedHere(id),
       onDraining: opts.tellPeers,
       log,
     })
@@ -127,7 +127,7 @@
     const rest = (byService.get(service) ?? []).filter((each) => each !== target)
     byService.set(service, rest)
     log.event('targetRemoved', { job, vm, service, inFlight: target.inFlight })
-    removed.add(target)
+    removedTargets.add(target)
     void target.close()
   }
 
@@ -155,23 +155,27 @@
   const jobRow = (id: string) => rows.rows.get(jobKey(hall, id))
 
   function inFlightBy(keyOf: (target: Target) => string): Map<string, number> {
-    for (const target of removed) if (target.inFlight === 0) removed.delete(target)
+    for (const target of removedTargets)
+      if (target.inFlight === 0) removedTargets.delete(target)
     const counts = new Map<string, number>()
-    for (const target of [...byJob.values(), ...removed]) {
+    for (const target of [...byJob.values(), ...removedTargets]) {
       const key = keyOf(target)
       counts.set(key, (counts.get(key) ?? 0) + target.inFlight)
     }
     return counts
   }
 
-  function report(): void {
+  function publishChange(): void {
     const all = [...byJob.values()]
-    metrics.targets.set({ state: 'ok' }, all.filter(takesWork).length)
-    metrics.targets.set({ state: 'leaving' }, all.filter((t) => !takesWork(t)).length)
+    metrics.targets.set({ state: 'ok' }, all.filter(acceptsRequests).length)
+    metrics.targets.set(
+      { state: 'leaving' },
+      all.filter((t) => !acceptsRequests(t)).length,
+    )
     for (const listener of listeners) listener()
   }
 
-  async function followList(): Promise<void> {
+  async function pollVmList(): Promise<void> {
     let since = 0
     while (!stopping.signal.aborted) {
       const list = await opts.platform.listVms(hall, since)
@@ -181,7 +185,7 @@
         const leaving = list.value.vms.filter((vm) => vm.state === 'leaving')
         listedLeaving = new Set(leaving.map((vm) => `${vm.id}/${vm.incarnation}`))
         for (const target of byJob.values()) updateState(target)
-        report()
+        publishChange()
       }
       await sleep(jittered(cfg.platform.poll), stopping.signal)
     }
@@ -189,7 +193,7 @@
 
   update(rows.rows.keys())
   const unsubscribe = rows.subscribe(update)
-  const list = followList()
+  const list = pollVmList()
 
   return {
     targets: (service) => byService.get(service) ?? [],
@@ -206,9 +210,10 @@
       }
       return leaving
     },
-    draining: () => [...byJob.values()].filter((t) => t.saidDraining).map((t) => t.job),
+    draining: () =>
+      [...byJob.values()].filter((t) => t.reportsDraining).map((t) => t.job),
     notePeerDraining(jobs) {
-      for (const target of byJob.values()) target.notePeerDraining(jobs.has(target.job))
+      for (const target of byJob.values()) target.setPeerDraining(jobs.has(target.job))
     },
     stopping() {
       const counts = inFlightBy((target) => target.job)
@@ -229,7 +234,9 @@
     async stop() {
       unsubscribe()
       stopping.abort()
-      await Promise.all([...byJob.values(), ...removed].map((target) => target.close()))
+      await Promise.all(
+        [...byJob.values(), ...removedTargets].map((target) => target.close()),
+      )
       await list
     },
   }
