--- a/src/entry/allotments.ts
+++ b/src/entry/allotments.ts
@@ -1,50 +1,50 @@
 /**
- * A service's limit over all entries without a shared counter. Each entry owns a fixed
- * part; parts add up to the limit. An entry lends what it does not need to one that
- * does. Messages carry running totals, so that loss, delay, repetition and another order
- * only ever lower the sum of what may be used.
+ * Divides a service's limit among all entries without a shared counter. Each entry owns a
+ * fixed part, and the parts add up to the limit. An entry lends tokens that it does not
+ * need to entries that do. Messages carry cumulative totals, so that a lost, delayed,
+ * repeated or reordered message can only lower the sum of usable tokens.
  *
- * The lender stops using a token before it says so (`granted` grows first); the borrower
- * stops using it before it gives it back (`returned` grows first).
+ * The lender stops using a token before it announces the loan (`granted` grows first); the
+ * borrower stops using it before it announces the return (`returned` grows first).
  */
 import { partOfLimit } from './limiter.js'
 
-/** Part of an entry's own tokens that may be lent out. */
+/** Share of an entry's own tokens that may be lent out. */
 const LENDABLE_SHARE = 0.75
-/** Part of its tokens in use above which an entry asks for more. */
+/** Share of its usable tokens above which an entry asks for more. */
 const BORROW_ABOVE_USAGE = 0.8
-/** Steps without need after which borrowed tokens go back. */
+/** Steps without demand after which borrowed tokens are returned. */
 const RETURN_AFTER_IDLE_STEPS = 5
 
-/** Totals about one service between two lives of two entries. */
+/** Totals of one service between one life of the sender and one life of the receiver. */
 export interface LoanLine {
   service: string
-  /** Tokens that the sender has ever lent to the receiver. */
+  /** Tokens lent by the sender to the receiver since both lives began. */
   granted: number
-  /** Tokens that the sender has ever given back to the receiver. */
+  /** Tokens returned by the sender to the receiver since both lives began. */
   returned: number
-  /** The receiver's tokens, lent in an earlier life of it, that the sender still uses. */
+  /** Tokens lent by an earlier life of the receiver that the sender still uses. */
   legacy: number
-  /** Tokens that the sender could use more. */
+  /** Additional tokens that the sender could use. */
   wants: number
-  /** Tokens that the sender wants back, since its part shrank below what it lent. */
+  /** Tokens that the sender wants back because its part shrank below what it has lent. */
   recall: number
 }
 
-/** What one entry says to another about loans. */
+/** Message about loans from one entry to another. */
 export interface LoanMessage {
-  /** Life of the sender: a number that grows with each start of it. */
+  /** Life of the sender: a number that grows with each start. */
   life: number
-  /** Life of the receiver that the totals are about; 0 when unknown. */
+  /** Life of the receiver that the totals refer to; 0 when unknown. */
   peerLife: number
   lines: LoanLine[]
 }
 
-/** Allotments of one entry. */
+/** Tokens of one entry, own and borrowed, by service. */
 export interface Allotments {
-  /** Requests that this entry may have in flight for the service now. */
+  /** Requests of the service that this entry may have in flight now. */
   usable(service: string): number
-  /** Lends, asks and gives back; call it before messages are made. */
+  /** Lends and returns tokens; call it before `messageFor`. */
   step(): void
   messageFor(peer: string): LoanMessage
   receive(peer: string, message: LoanMessage): void
@@ -53,7 +53,7 @@
 /** Options of {@link createAllotments}. */
 export interface AllotmentsOptions {
   own: string
-  /** Time of the start; told apart from earlier lives, and raised if one was later. */
+  /** Time of the start, which identifies this life; raised if an earlier life's is later. */
   life: number
   /** Ids of all entries of all halls. */
   entries: readonly string[]
@@ -62,7 +62,7 @@
   limitOf(service: string): number
   inFlight(service: string): number
   queued(service: string): number
-  /** Whether the entry is certainly gone, so that it holds none of our tokens. */
+  /** Whether the entry is certainly gone, so that it holds no tokens of this entry. */
   isGone(entry: string): boolean
 }
 
@@ -71,9 +71,9 @@
   grantedSeen: number
   returned: number
   returnedSeen: number
-  /** Our tokens of an earlier life that the peer still uses. */
+  /** Tokens lent by an earlier life of this entry that the peer still uses. */
   theirLegacy: number
-  /** Their tokens of an earlier life that we had when it ended. */
+  /** Tokens lent by earlier lives of the peer and still held here when those ended. */
   legacy: number
   theirWants: number
   theirRecall: number
@@ -81,9 +81,9 @@
 
 interface PeerState {
   id: string
-  /** Its latest known life; what earlier ones still say is of no account. */
+  /** Its latest known life; messages of earlier lives are ignored. */
   life: number
-  /** It has spoken about our present life, so its `legacy` is known. */
+  /** Whether its totals about this entry's present life, and so its `legacy`, are known. */
   isSynced: boolean
   accounts: Map<string, Account>
 }
@@ -99,7 +99,7 @@
   theirRecall: 0,
 })
 
-/** Creates the allotments of a fresh life. */
+/** Creates the allotments of a new life. */
 export function createAllotments(opts: AllotmentsOptions): Allotments {
   const { own, entries, limitOf } = opts
   const peers = new Map<string, PeerState>()
@@ -134,11 +134,11 @@
 
   const lent = (service: string) => sum(service, (a) => a.granted - a.returnedSeen)
   const borrowed = (service: string) => sum(service, (a) => a.grantedSeen - a.returned)
-  /** Borrowed tokens that are wanted back; nothing new is admitted on them. */
+  /** Borrowed tokens that their lenders have recalled; no new request may use them. */
   const frozen = (service: string) =>
     sum(service, (a) => Math.min(a.theirRecall, a.grantedSeen - a.returned))
 
-  /** Our tokens that may be in use from an earlier life of ours. */
+  /** Tokens lent by an earlier life of this entry that peers may still use. */
   function outstanding(service: string): number {
     const known = sum(service, (a) => a.theirLegacy)
     const allSynced = [...peers.values()].every(
@@ -153,7 +153,7 @@
     return mine + borrowed(service) - frozen(service)
   }
 
-  /** Tokens that could be used more than now. */
+  /** Additional tokens that this entry could use now. */
   function wants(service: string): number {
     const queued = opts.queued(service)
     const inFlight = opts.inFlight(service)
@@ -209,14 +209,14 @@
     }
   }
 
-  /** Tokens of earlier lives of lenders that our requests still hold. */
+  /** Tokens lent by earlier lives of the peer that requests in flight here still hold. */
   function legacyOf(service: string, account: Account): number {
     const over = Math.max(0, opts.inFlight(service) - usable(service))
     account.legacy = Math.min(account.legacy, over)
     return account.legacy
   }
 
-  /** Tokens lent beyond what a smaller limit leaves us. */
+  /** Tokens lent beyond the own part after the limit was lowered. */
   const shortfall = (service: string) => Math.max(0, lent(service) - ownPart(service))
 
   function startPeerLife(peer: PeerState, nextLife: number): void {
@@ -224,15 +224,18 @@
     peer.isSynced = false
     for (const [service, account] of peer.accounts) {
       const legacy = account.legacy + account.grantedSeen - account.returned
-      // What its earlier life had borrowed from us ended with it.
+      // Loans to the peer's earlier life ended with that life.
       peer.accounts.set(service, { ...newAccount(), legacy })
     }
   }
 
-  /** A life of this entry is known that seems to be later than this one. */
+  /**
+   * Handles a peer's message about a life of this entry that seems later than this one.
+   */
   function noteLaterLife(laterLife: number): void {
     const isFresh = [...peers.values()].every((peer) => !peer.isSynced)
-    // A fresh process whose clock is behind its predecessor's; or one that was replaced.
+    // Either the clock of this new process is behind its predecessor's, or it was
+    // replaced.
     if (isFresh) life = laterLife + 1
     else superseded = true
   }
@@ -270,7 +273,7 @@
       if (!peer || message.life < peer.life) return
       if (message.life > peer.life) startPeerLife(peer, message.life)
       if (message.peerLife > life) noteLaterLife(message.peerLife)
-      // Totals about another life of ours say nothing about this one.
+      // Totals about another life of this entry do not apply to this one.
       if (message.peerLife !== life) return
       const byService = new Map(message.lines.map((line) => [line.service, line]))
       for (const service of new Set([...byService.keys(), ...peer.accounts.keys()])) {
--- a/src/entry/answers.ts
+++ b/src/entry/answers.ts
@@ -1,11 +1,11 @@
-/** Answers that the entry gives itself. All tell the caller what is known of its request. */
+/** Answers created by the entry itself. Each states whether the request ran, if known. */
 import type { ServerResponse } from 'node:http'
 import { OUTCOME_HEADER, REQUEST_ID_HEADER, RETRY_AFTER_S } from './constants.js'
 
-/** How a request ended, as far as the caller is concerned. */
+/** Outcome of a request as reported to the caller. */
 export type Outcome = 'answered' | 'not-run' | 'unknown'
 
-/** Reasons for an answer of our own. */
+/** Reasons for an answer created by the entry. */
 export type RefusalKind =
   | 'bad request'
   | 'unknown service'
@@ -21,7 +21,7 @@
 interface RefusalSpec {
   status: number
   outcome: Outcome
-  /** Whether coming back later may help. */
+  /** Whether the caller may succeed by retrying later. */
   retryLater: boolean
 }
 
@@ -34,12 +34,15 @@
   stopping: { status: 503, outcome: 'not-run', retryLater: true },
   'no answer': { status: 502, outcome: 'unknown', retryLater: false },
   'deadline after sending': { status: 504, outcome: 'unknown', retryLater: false },
-  // Of these, this attempt did not run, but an earlier one of the same id may have.
+  // This request did not run, but an earlier one with the same id may have.
   repeat: { status: 409, outcome: 'unknown', retryLater: false },
   unsure: { status: 503, outcome: 'unknown', retryLater: true },
 }
 
-/** Sends a refusal; does nothing when an answer has begun. Returns the outcome. */
+/**
+ * Sends a refusal and returns its outcome. Sends nothing if an answer has begun or the
+ * caller's connection is closed.
+ */
 export function refuse(
   res: ServerResponse,
   kind: RefusalKind,
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt: a request on one proved connection, its answer streamed to the caller
- * with backpressure. The result says exactly what is known of the request's run.
+ * Sends a request once over a verified connection and streams the answer to the caller
+ * with backpressure. The result states whether the request ran, if known.
  */
 import type { ServerResponse } from 'node:http'
 import type { Client, Dispatcher } from 'undici'
@@ -11,17 +11,17 @@
 import { OUTCOME_HEADER, REQUEST_ID_HEADER } from './constants.js'
 import { headersForCaller } from './headers.js'
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptResult =
-  /** The caller has the whole answer. */
+  /** The whole answer was passed to the caller. */
   | { kind: 'answered'; status: number }
-  /** Nothing of it ran: no byte was sent, or the target refused it. */
+  /** The request did not run: no byte was sent, or the target refused it. */
   | { kind: 'not-run'; reason: string; refusedByTarget: boolean }
-  /** Bytes were sent, and no answer came; nothing was passed to the caller. */
+  /** Bytes were sent, but no answer arrived; nothing was passed to the caller. */
   | { kind: 'unknown'; reason: string }
-  /** The answer broke off after its head; the caller's connection is broken too. */
+  /** The answer broke off after its head; the caller's connection must be closed too. */
   | { kind: 'broken'; reason: string }
-  /** The caller went away. */
+  /** The caller disconnected. */
   | { kind: 'caller-left' }
 
 /** Options of {@link runAttempt}. */
@@ -31,19 +31,19 @@
   headers: string[]
   body: RequestBody
   res: ServerResponse
-  /** Fires when the caller leaves or the deadline passes. */
+  /** Cancelled when the caller disconnects or the deadline passes. */
   cancellation: Cancellation
 }
 
 const TARGET_REFUSAL = 'not-run'
 
-/** Value of a response header in lower case; of several, the first. */
+/** Value of the response header with this lower-case name; the first of several. */
 function headerOf(headers: Record<string, string | string[] | undefined>, name: string) {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
-const cancelledError = () => new Error('the request was given up')
+const cancelledError = () => new Error('the caller disconnected or the deadline passed')
 
 /** Sends the request and streams the answer. Never rejects. */
 export function runAttempt(opts: AttemptOptions): Promise<AttemptResult> {
@@ -53,7 +53,7 @@
     let isHeadSent = false
     let refusal: string | undefined
     let status = 0
-    /** Bytes still to come; NaN where the target names no length. */
+    /** Bytes of the answer still to come; NaN if the target sent no content length. */
     let bytesLeft = NaN
     let control: Dispatcher.DispatchController | undefined
 
@@ -86,7 +86,7 @@
         if (statusCode < 200) return
         status = statusCode
         if (headerOf(headers, OUTCOME_HEADER) === TARGET_REFUSAL) {
-          refusal = `target refused with ${statusCode}`
+          refusal = `target refused the request with status ${statusCode}`
           return
         }
         isHeadSent = true
@@ -102,7 +102,7 @@
       onResponseData(controller, chunk) {
         if (refusal !== undefined) return
         bytesLeft -= chunk.length
-        // The last bytes of a known length: the answer is whole, and one call is saved.
+        // The answer is complete; ending it with its last chunk saves a call.
         if (bytesLeft === 0) return void res.end(chunk)
         if (!res.write(chunk)) controller.pause()
       },
--- a/src/entry/body.ts
+++ b/src/entry/body.ts
@@ -1,6 +1,6 @@
 /**
- * The body of a caller's request. Small ones are read before routing and can be sent
- * again; large ones stream through once, with backpressure, and are never held.
+ * The body of a caller's request. A small body is read before routing and can be sent
+ * again; a large one is streamed once, with backpressure, and is never buffered whole.
  */
 import type { IncomingMessage } from 'node:http'
 import { Readable } from 'node:stream'
@@ -9,7 +9,7 @@
 export type RequestBody =
   | { kind: 'none' }
   | { kind: 'buffered'; bytes: Buffer }
-  /** `open` gives the stream to an attempt; once it is `started`, no other may use it. */
+  /** `open` returns the stream for an attempt; once `isStarted`, no other may use it. */
   | {
       kind: 'streamed'
       length: number | undefined
@@ -17,10 +17,13 @@
       isStarted(): boolean
     }
 
-/** The caller broke off while its body was being read. */
+/** The caller disconnected while its body was being read. */
 export const CALLER_LEFT = Symbol('caller left')
 
-/** Reads a small body whole, or prepares a large one for streaming. */
+/**
+ * Reads a body of known length up to `bufferLimit` bytes whole; prepares any other for
+ * streaming.
+ */
 export async function readBody(
   req: IncomingMessage,
   bufferLimit: number,
@@ -46,8 +49,8 @@
 }
 
 /**
- * The request's bytes, read from the caller only when an attempt reads them: an attempt
- * that never connected has not touched the caller's stream.
+ * Reads from the caller only when an attempt reads, so that an attempt that never
+ * connected has consumed none of the body.
  */
 function streamBody(req: IncomingMessage, length: number | undefined): RequestBody {
   let isStarted = false
@@ -58,7 +61,8 @@
     })
     req.on('end', () => stream.push(null))
     req.on('close', () => {
-      if (!req.complete) stream.destroy(new Error('the caller broke off its body'))
+      if (!req.complete)
+        stream.destroy(new Error('the caller disconnected before the end of its body'))
     })
     req.on('error', (cause) => stream.destroy(cause))
   }
--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -1,4 +1,4 @@
-/** A caller's request as read from its head. */
+/** Parses the head of a caller's request. */
 import type { IncomingMessage } from 'node:http'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -15,22 +15,22 @@
 import { PRIORITIES } from './fairQueue.js'
 import type { Priority } from './fairQueue.js'
 
-/** What the entry knows of a request before it reads the body. */
+/** A request as described by its head. */
 export interface Call {
   id: string
   service: string
   method: string
-  /** Path and query for the target: the caller's without the service. */
+  /** Path and query sent to the target: the caller's without the service name. */
   path: string
-  /** The caller gave the id, so it can send the request again under it. */
+  /** Whether the caller chose the id, so that it can send the request again with it. */
   idGiven: boolean
-  /** Whether it may run twice. */
+  /** Whether the request may run twice. */
   repeatable: boolean
-  /** Undefined where the caller names none; the service's line decides then. */
+  /** Undefined if the caller gives none; the service's priority applies then. */
   priority: Priority | undefined
-  /** Undefined where the caller names none; the service's team counts then. */
+  /** Undefined if the caller gives none; the service's team applies then. */
   team: string | undefined
-  /** Monotonic time in ms at which the caller gives up. */
+  /** Monotonic time in ms at which the caller stops waiting. */
   deadline: number
   arrivedAt: number
 }
@@ -40,14 +40,14 @@
 const MAX_ID_LENGTH = 128
 const ID_PATTERN = /^[\x21-\x7e]+$/
 
-/** Reads the head; the error is a sentence for the caller. */
+/** Parses the head; the error is a text for the caller. */
 export function readCall(
   req: IncomingMessage,
   defaultDeadlineMs: number,
 ): Result<Call, string> {
   const url = req.url ?? '/'
   const match = /^\/([a-z0-9][a-z0-9-]{0,62})(?=$|[/?])(.*)$/s.exec(url)
-  if (!match) return err('the path must begin with the name of a service')
+  if (!match) return err('the path must begin with a service name')
   const id = readId(req)
   if (id.isErr()) return err(id.error)
   const repeatable = readRepeatable(req)
@@ -81,21 +81,25 @@
   const valid =
     typeof given === 'string' && given.length <= MAX_ID_LENGTH && ID_PATTERN.test(given)
   if (valid) return ok(given)
-  return err(`${REQUEST_ID_HEADER}: 1 to ${MAX_ID_LENGTH} visible ASCII characters`)
+  return err(
+    `${REQUEST_ID_HEADER} must be 1 to ${MAX_ID_LENGTH} visible ASCII characters`,
+  )
 }
 
 function readRepeatable(req: IncomingMessage): Result<boolean, string> {
   const given = req.headers[REPEATABLE_HEADER]
   if (given === undefined) return ok(REPEATABLE_METHODS.has(req.method ?? ''))
   if (given === 'yes' || given === 'no') return ok(given === 'yes')
-  return err(`${REPEATABLE_HEADER}: yes or no`)
+  return err(`${REPEATABLE_HEADER} must be yes or no`)
 }
 
 function readPriority(req: IncomingMessage): Result<Priority | undefined, string> {
   const given = req.headers[PRIORITY_HEADER]
   if (given === undefined) return ok(undefined)
   const found = PRIORITIES.find((each) => each === given)
-  return found ? ok(found) : err(`${PRIORITY_HEADER}: one of ${PRIORITIES.join(', ')}`)
+  return found
+    ? ok(found)
+    : err(`${PRIORITY_HEADER} must be one of ${PRIORITIES.join(', ')}`)
 }
 
 function readTeam(req: IncomingMessage): Result<string | undefined, string> {
@@ -104,7 +108,7 @@
   const valid = typeof given === 'string' && TEAM_PATTERN.test(given)
   return valid
     ? ok(given)
-    : err(`${TEAM_HEADER}: a name of a-z, 0-9 and dashes, at most 63`)
+    : err(`${TEAM_HEADER} must be at most 63 characters of a-z, 0-9 and dashes`)
 }
 
 function readDeadline(req: IncomingMessage, defaultMs: number): Result<number, string> {
@@ -112,5 +116,7 @@
   if (given === undefined) return ok(defaultMs)
   const ms = Number(given)
   const valid = /^\d{1,9}$/.test(String(given)) && ms >= 1 && ms <= MAX_DEADLINE_MS
-  return valid ? ok(ms) : err(`${DEADLINE_HEADER}: whole ms from 1 to ${MAX_DEADLINE_MS}`)
+  return valid
+    ? ok(ms)
+    : err(`${DEADLINE_HEADER} must be whole ms from 1 to ${MAX_DEADLINE_MS}`)
 }
--- a/src/entry/cancellation.ts
+++ b/src/entry/cancellation.ts
@@ -1,21 +1,23 @@
 /**
- * A cheap stand-in for `AbortSignal` on the path of requests: a signal that fires at the
- * end of every request made a tenth of the entry's processor time (docs/measurements.md).
+ * A lightweight replacement for `AbortSignal` on the request path, where a signal fired at
+ * the end of every request takes a tenth of the entry's CPU time (docs/measurements.md).
  */
 
-/** Tells whether a request is given up, and calls back when it is. */
+/** Tells whether a request is cancelled, and calls back when it is. */
 export interface Cancellation {
   readonly cancelled: boolean
-  /** Calls back on cancellation; at once when it has happened. Returns how to end this. */
+  /**
+   * Calls back on cancellation, at once if already cancelled. Returns an unsubscriber.
+   */
   subscribe(listener: () => void): () => void
 }
 
-/** The side that cancels. */
+/** A cancellation that its holder can trigger. */
 export interface CancellationSource extends Cancellation {
   cancel(): void
 }
 
-/** Creates a source that is not cancelled. */
+/** Creates a source that is not yet cancelled. */
 export function createCancellation(): CancellationSource {
   let listeners: (() => void)[] | undefined
   const source = {
--- a/src/entry/chooser.ts
+++ b/src/entry/chooser.ts
@@ -1,26 +1,28 @@
 /**
- * Choosing a target: a lookup table of policies. `twoChoices` serves: the lighter of two
- * drawn at random, so that entries with the same old reports do not all send to the same
- * target. The others leave out a part of it and show what that is worth.
+ * Policies for choosing a target, by name. The default is `twoChoices`: the less loaded of
+ * two targets drawn at random, so that entries with the same outdated reports do not all
+ * send to the same target. The other policies leave out a part of this, for comparison.
  */
 import { monotonicMs } from '../shared/index.js'
 import { MAX_EXCLUDED_SHARE } from './constants.js'
 import { acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
-/** A source of random numbers from 0 up to 1. */
+/** Returns random numbers from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number
 
-/** Picks one of at least one candidates. */
+/** Picks one of the candidates, of which there is at least one. */
 export type Policy = (candidates: readonly Target[], random: Random) => Target
 
-/** Name of a policy. */
 export type PolicyName = 'random' | 'roundRobin' | 'twoChoices' | 'twoChoicesReported'
 
 const pick = (candidates: readonly Target[], random: Random): Target =>
   candidates[Math.floor(random() * candidates.length)]!
 
-/** Load on the target over all entries: what it reported, and what we added since. */
+/**
+ * Estimated load over all entries: the target's report and the own requests added
+ * since.
+ */
 export function estimatedLoad(target: Target): number {
   const added = target.inFlight - target.inFlightAtReport
   return Math.max(target.inFlight, target.reportedLoad + added)
@@ -36,7 +38,7 @@
   }
 }
 
-/** Creates the policy of that name; some keep state of their own. */
+/** Functions that create each policy; some policies keep state. */
 export const POLICIES: Record<PolicyName, () => Policy> = {
   random: () => pick,
   roundRobin: () => {
@@ -48,8 +50,8 @@
 }
 
 /**
- * Targets that may get a request now. Excluded ones stay out unless too large a share
- * is excluded: when most fail at once, the cause is not the target.
+ * Targets that may receive a request now. Excluded targets are left out unless too large a
+ * share is excluded: when most targets fail at once, the cause is not a single target.
  */
 export function eligibleTargets(
   targets: readonly Target[],
--- a/src/entry/claimRegistry.ts
+++ b/src/entry/claimRegistry.ts
@@ -1,33 +1,33 @@
-/** What an entry remembers of unrepeatable requests, for a bounded time and number. */
+/** Claims of unrepeatable requests, bounded in retention time and number. */
 
-/** What became of a claimed request. */
+/** State of a claimed request. */
 export type ClaimState = 'running' | 'answered' | 'unknown'
 
-/** One remembered request. */
+/** One claimed request. */
 export interface ClaimRecord {
   id: string
   state: ClaimState
-  /** Ms since the claim. */
+  /** Time since the claim, in ms. */
   ageMs: number
-  /** Names the request that claimed the id. */
+  /** Identifies the request that claimed the id. */
   token: string
 }
 
-/** Remembered requests. */
+/** Claims by request id. */
 export interface ClaimRegistry {
-  /** The claim if the id is known. */
+  /** The claim of the id, if known. */
   find(id: string): { state: ClaimState; token: string } | undefined
-  /** Adds an id; false when the book is full. */
+  /** Adds a claim; false when the registry is full. */
   add(record: ClaimRecord): boolean
-  /** Changes the state of a known id. */
+  /** Changes the state of a known claim. */
   set(id: string, state: ClaimState): void
-  /** Forgets an id that did not run. */
+  /** Removes the claim of a request that did not run. */
   remove(id: string): void
   records(): ClaimRecord[]
   size(): number
 }
 
-/** Creates an empty book. */
+/** Creates an empty registry. */
 export function createClaimRegistry(opts: {
   memoryMs: number
   maxRecords: number
@@ -36,7 +36,7 @@
   const { memoryMs, maxRecords, now } = opts
   const claims = new Map<string, { state: ClaimState; token: string; at: number }>()
 
-  /** Drops what is older than the memory; the map keeps the order of arrival. */
+  /** Drops claims older than `memoryMs`; the map is in order of arrival. */
   function prune(): void {
     for (const [id, { at }] of claims) {
       if (now() - at < memoryMs) return
--- a/src/entry/fairQueue.ts
+++ b/src/entry/fairQueue.ts
@@ -1,10 +1,10 @@
 /**
- * Waiting requests of one service, in the order in which they get their turn: bands of
- * priority first; inside a band teams by weight; inside a team by arrival. A team that
- * floods lengthens its own wait only.
+ * Queue of the waiting requests of one service. Requests are ordered by priority; within a
+ * priority, teams share the turns by weight; within a team, requests are in order of
+ * arrival. A team that sends too many requests lengthens only its own wait.
  */
 
-/** Which requests go first. */
+/** Priorities of requests, the first served first. */
 export const PRIORITIES = ['urgent', 'normal', 'deferrable'] as const
 export type Priority = (typeof PRIORITIES)[number]
 
@@ -17,26 +17,26 @@
 interface TeamQueue<T> {
   team: string
   items: Set<T>
-  /** Turns had, divided by the weight; the team with the least goes next. */
+  /** Requests served, divided by the weight; the team with the lowest value is next. */
   pass: number
 }
 
-/** Waiting requests in order. */
+/** Waiting requests in the order of their service. */
 export interface FairQueue<T extends QueuedRequest> {
   size(): number
   add(item: T): void
   remove(item: T): void
-  /** Takes out the request whose turn it is. */
+  /** Removes and returns the next request. */
   next(): T | undefined
   /**
-   * The request that should make room for a new one: the last of the team that waits
-   * most for its weight, in the last band that is not before the new one's.
-   * Undefined when the new one itself is it.
+   * The queued request to refuse in favour of a new one: the latest of the team with the
+   * longest queue for its weight, in the lowest priority that is not above the new one's.
+   * Undefined when the new request itself is to be refused.
    */
   evictionCandidate(item: QueuedRequest): T | undefined
 }
 
-/** Creates empty queues; `weightOf` is asked at each turn. */
+/** Creates an empty queue; `weightOf` is called at each turn. */
 export function createFairQueue<T extends QueuedRequest>(
   weightOf: (team: string) => number,
 ): FairQueue<T> {
@@ -75,7 +75,7 @@
       const band = bandOf(item.priority)
       let queue = band.get(item.team)
       if (!queue) {
-        // A team that was away gets no turns for the time when it wanted none.
+        // A team that had no waiting requests earns no turns for that time.
         const pass = leastServed(band)?.pass ?? 0
         queue = { team: item.team, items: new Set(), pass }
         band.set(item.team, queue)
@@ -117,7 +117,9 @@
     },
   }
 
-  /** Whether the longest queue is longer than the new request's team would be alone. */
+  /**
+   * Whether the weighted length exceeds that of one request of the new request's team.
+   */
   function isLonger(length: number, item: QueuedRequest): boolean {
     return length > 1 / effectiveWeight(item.team)
   }
--- a/src/entry/front.ts
+++ b/src/entry/front.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP front for callers. hono routes; request and answer bodies pass through the
- * Node streams that its adapter exposes, which a measurement showed to cost far less
- * than web streams (see docs/measurements.md).
+ * HTTP server for callers. hono does the routing; request and answer bodies pass through
+ * the Node streams that its adapter exposes, which cost far less CPU time than web streams
+ * (see docs/measurements.md).
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { serve } from '@hono/node-server'
@@ -11,15 +11,15 @@
 import { KEEP_ALIVE_TIMEOUT_MS } from './constants.js'
 import type { Router } from './router.js'
 
-/** The open front. */
+/** A running server for callers. */
 export interface Front {
   address: { address: string; port: number }
-  /** Whether new requests are taken; false asks callers to close their connections. */
+  /** From now on, answers ask callers to close their connections. */
   setStopping(): void
   close(): Promise<void>
 }
 
-/** Opens the front for callers. Rejects when the address cannot be used. */
+/** Starts the server for callers. Rejects if the address cannot be used. */
 export async function createFront(opts: {
   router: Router
   host: string
@@ -37,7 +37,7 @@
     return RESPONSE_ALREADY_SENT
   })
   const server = await listen(app, host, port)
-  // Large uploads may take long; the deadline of each request bounds it instead.
+  // Large uploads may take long; each request is bounded by its deadline instead.
   server.requestTimeout = 0
   server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS
   const address = server.address() as { address: string; port: number }
@@ -55,13 +55,13 @@
   }
 }
 
-/** Closes a kept-alive connection once its answer has been handed to the socket. */
+/** Closes a keep-alive connection once its answer has been handed to the socket. */
 function endConnection(req: IncomingMessage, res: ServerResponse): void {
   if (res.writableFinished) req.socket.destroySoon()
   else res.once('finish', () => req.socket.destroySoon())
 }
 
-/** Starts a hono application on an address; rejects when it cannot be opened. */
+/** Serves a hono application at an address; rejects if the address cannot be used. */
 export function listen(
   app: { fetch: Parameters<typeof serve>[0]['fetch'] },
   host: string,
--- a/src/entry/headers.ts
+++ b/src/entry/headers.ts
@@ -1,4 +1,4 @@
-/** Which headers pass between caller and target. Raw lists: name, value, name, value. */
+/** Filters headers between caller and target. Raw lists alternate names and values. */
 import { OUTCOME_HEADER } from './constants.js'
 
 const HOP_BY_HOP = new Set([
@@ -11,9 +11,9 @@
   'transfer-encoding',
   'upgrade',
 ])
-/** Handled by the entry itself. */
+/** The entry itself handles `expect` and sets the content length. */
 const REMOVED_FOR_TARGET = new Set([...HOP_BY_HOP, 'expect', 'content-length'])
-/** A target's own outcome is not passed on; the entry says what it knows. */
+/** The outcome sent by a target is replaced by the entry's. */
 const REMOVED_FOR_CALLER = new Set([...HOP_BY_HOP, OUTCOME_HEADER])
 /** Values of `connection` that name no other header. */
 const PLAIN_CONNECTION = /^(keep-alive|close)$/i
@@ -30,7 +30,7 @@
   return listed ? removeHeaders(kept, listed) : kept
 }
 
-/** Headers that a `connection` header names, which then are hop by hop too. */
+/** Headers named by a `connection` header, which are hop-by-hop too. */
 function connectionHeaderNames(connection: string): Set<string> | undefined {
   if (PLAIN_CONNECTION.test(connection)) return undefined
   const names = connection.toLowerCase().split(',')
@@ -45,12 +45,15 @@
   return kept
 }
 
-/** Headers of a request for the target. The length is set by whoever sends the body. */
+/**
+ * Request headers for the target, without the length, which depends on how the body is
+ * sent.
+ */
 export function headersForTarget(raw: readonly string[]): string[] {
   return filterHeaders(raw, REMOVED_FOR_TARGET)
 }
 
-/** Headers of an answer for the caller. */
+/** Response headers for the caller. */
 export function headersForCaller(raw: readonly string[]): string[] {
   return filterHeaders(raw, REMOVED_FOR_CALLER)
 }
--- a/src/entry/healthCheckAssignment.ts
+++ b/src/entry/healthCheckAssignment.ts
@@ -1,16 +1,16 @@
 /**
- * Which entry of a hall asks a target for its health: one of those that are reached, by
- * rendezvous hashing, so that the work of a hall's checks is shared. An entry that falls
- * silent is left out, and its targets go to others.
+ * Assigns the health checks of a hall's targets to the reachable entries of the hall by
+ * rendezvous hashing, so that the entries share the work. The targets of an entry that
+ * becomes unreachable are reassigned to the others.
  */
 import { rankByHash } from './rendezvous.js'
 
-/** Tells whether this entry is on duty for a target. */
+/** Tells which targets this entry checks. */
 export interface HealthCheckAssignment {
   isAssignedHere(job: string): boolean
 }
 
-/** Creates the duty roster. `reached` names the other entries of the hall that answer. */
+/** Creates the assignment. `reached` returns the other reachable entries of the hall. */
 export function createHealthCheckAssignment(
   own: string,
   reached: () => readonly string[],
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,4 +1,4 @@
-/** Answers callers: routing, limits, retries, drain. */
+/** Serves requests of callers: routing, limits, retries, draining. */
 export * from './allotments.js'
 export * from './answers.js'
 export * from './chooser.js'
--- a/src/entry/limiter.ts
+++ b/src/entry/limiter.ts
@@ -1,39 +1,45 @@
 /**
- * Admission per service: at most as many requests in flight as this entry may have now.
- * The rest wait for their turn, up to their deadline; when too many wait, the one that
- * has the least claim to a place is refused at once.
+ * Admission control per service: limits the requests in flight to this entry's capacity.
+ * Further requests are queued up to their deadline. When the queue is full, the fair queue
+ * decides whether the new request or a queued one is refused at once.
  */
 import { monotonicMs } from '../shared/index.js'
 import type { Cancellation } from './cancellation.js'
 import { createFairQueue } from './fairQueue.js'
 import type { Priority, QueuedRequest } from './fairQueue.js'
 
-/** Weight of the latest request in the running mean. */
+/** Weight of the latest request in the moving average of times in flight. */
 const MEAN_SMOOTHING = 0.05
-/** Multiple of the mean that must be left before the deadline. */
+/** Multiple of that average that must remain before the deadline. */
 const NEEDED_MEAN_MULTIPLE = 2
-/** But never more than this part of the caller's patience. */
+/**
+ * Upper bound of that remaining time, as a share of the time from queueing to the
+ * deadline.
+ */
 const MAX_NEEDED_SHARE = 0.5
 
-/** How a wait for admission ended. */
+/** Result of a request for admission. */
 export type Admission = 'admitted' | 'queue full' | 'deadline passed' | 'caller left'
 
-/** Options of one wait. */
+/** A request for admission. */
 export interface AdmitOptions {
   priority: Priority
   team: string
-  /** Monotonic time in ms at which waiting is pointless. */
+  /** Monotonic time in ms after which the request is no longer admitted. */
   deadline: number
   cancellation: Cancellation
 }
 
 /** Admission for one service. */
 export interface Limiter {
-  /** Resolves when the request may start or never will. After `admitted`, call `leave`. */
+  /**
+   * Resolves when the request may start or never will. After `admitted`, call
+   * `release`.
+   */
   admit(opts: AdmitOptions): Promise<Admission>
-  /** Ends one admitted request, which held its place for so long. */
+  /** Ends an admitted request that was in flight for `heldMs`. */
   release(heldMs: number): void
-  /** Admits as many waiting requests as now fit; call it when capacity changed. */
+  /** Admits queued requests up to the capacity; call it when the capacity changes. */
   admitWaiting(): void
   inFlight(): number
   queued(): number
@@ -41,18 +47,18 @@
 
 /** Options of {@link createLimiter}. */
 export interface LimiterOptions {
-  /** Requests that may be in flight now; asked anew each time. */
+  /** Most requests in flight now; called at each admission. */
   capacity(): number
-  /** Requests that may wait. */
+  /** Most requests in the queue. */
   maxQueue: number
-  /** Share of the turns of a team against others of its band. */
+  /** Weight of a team relative to other teams of the same priority. */
   weightOf(team: string): number
 }
 
 interface Waiter extends QueuedRequest {
-  /** Monotonic time in ms at which the caller gives up. */
+  /** Monotonic time in ms at which the caller stops waiting. */
   deadline: number
-  /** Time between its arrival and its deadline, in ms. */
+  /** Time from queueing to the deadline, in ms. */
   allowedMs: number
   settle(how: Admission): void
 }
@@ -62,7 +68,7 @@
   const { capacity, maxQueue } = opts
   const queue = createFairQueue<Waiter>(opts.weightOf)
   let inFlight = 0
-  /** Running mean of the time that a request holds its place, in ms. */
+  /** Moving average of the time that a request is in flight, in ms. */
   let meanHeldMs = 0
 
   function admitWaiting(): void {
@@ -81,8 +87,8 @@
   }
 
   /**
-   * Whether the request would hardly be answered in time: sent now, it would most likely
-   * end as "unknown", after using a slot for nothing.
+   * Whether the request is unlikely to be answered in time: sent now, it would use a slot
+   * and most likely end with the outcome "unknown".
    */
   function isTooLate({ deadline, allowedMs }: Waiter): boolean {
     const needed = Math.min(
@@ -146,8 +152,8 @@
 }
 
 /**
- * This entry's part of a limit that holds over all entries: fixed parts that add up to
- * the limit exactly, by the order of the ids in the settings.
+ * This entry's part of a limit shared by all entries. Parts depend only on the sorted ids
+ * of the entries and add up to the limit exactly.
  */
 export function partOfLimit(
   limit: number,
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -1,10 +1,10 @@
 /**
- * At most once for unrepeatable requests that carry their caller's id. Each id has an
- * owner among the entries of its home hall, by rendezvous hashing; the owner says
- * whether the id is new. An entry that stops as planned leaves its memory with another,
- * which stands in for it. After a loss of memory the owner is "unsure" of ids that it
- * may have known, and their requests are not sent. docs/design/once.md states what is
- * promised.
+ * At-most-once execution of unrepeatable requests that carry the caller's id. Each id has
+ * an owner among the entries of its home hall, chosen by rendezvous hashing; the owner
+ * decides whether the id is new. An entry that stops as planned hands its claims over to
+ * another entry, which stands in for it. An owner that has lost its claims answers "unsure"
+ * for ids that it may have known, and their requests are not sent. docs/design/once.md
+ * states the guarantees.
  */
 import { describeError } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
@@ -17,22 +17,24 @@
 export type Verdict =
   | { kind: 'first' }
   | { kind: 'repeat'; state: ClaimState }
-  /** `standIn`: the owner is away or stopping, so another entry may stand in for it. */
+  /** `standIn`: the owner is unavailable, and another entry may stand in for it. */
   | { kind: 'unsure'; reason: string; standIn: boolean }
 
-/** Memory that an entry left when it stopped as planned. */
+/** Claims that an entry handed over when it stopped as planned. */
 export interface Legacy {
   claims: ClaimRecord[]
-  /** Whether that memory had no gap; false when nothing was left here. */
+  /** Whether no claim is missing; false when none were handed over to this entry. */
   complete: boolean
 }
 
-/** Calls to other entries; a rejection means that nothing is known of its effect. */
+/**
+ * Calls to other entries; after a rejection the call may or may not have taken effect.
+ */
 export interface OncePeers {
-  /** Asks the owner, or who stands in for the owner that is named. */
+  /** Claims the id at its owner, or at an entry that stands in for `owner`. */
   claim(peer: string, id: string, owner: string, token: string): Promise<Verdict>
   settle(peer: string, id: string, state: ClaimState | 'not-run'): Promise<void>
-  /** Takes back what an earlier life of the caller left there. */
+  /** Takes back the claims that an earlier life of this entry handed over to the peer. */
   collect(peer: string): Promise<Legacy>
   handOver(peer: string, legacy: Legacy): Promise<void>
 }
@@ -43,35 +45,38 @@
   /** Entries of all halls, this one included. */
   entries: readonly EntryLocation[]
   peers: OncePeers
-  /** Time for which a claim is remembered, in ms. */
+  /** Retention time of a claim, in ms. */
   memoryMs: number
-  /** This entry never ran before, so that there is nothing to remember. */
+  /** Whether this entry has never run before, so that it has no claims to recover. */
   firstLife: boolean
-  /** Whether the entry has spoken lately. */
+  /** Whether the entry has been heard from recently. */
   isReached(entry: string): boolean
-  /** Whether the entry's process is certainly gone, and its memory with it. */
+  /** Whether the entry's process, and its claims with it, is certainly gone. */
   isGone(entry: string): boolean
   /** Monotonic clock in ms. */
   now(): number
-  /** Time of day in s, for ids that name when they were made. */
+  /** Wall-clock time in s, for ids that contain their creation time. */
   wallSeconds(): number
   log: Pick<Logger, 'event'>
 }
 
 /** Decides whether unrepeatable requests may be sent. */
 export interface Once {
-  /** @param token names the request; asking again with it is no repeat. */
+  /**
+   * Claims an id.
+   * @param token identifies the request; claiming again with it is not a repeat.
+   */
   begin(id: string, token: string): Promise<Verdict>
-  /** Notes how a request that had begun ended. */
+  /** Records how a claimed request ended. */
   end(id: string, state: ClaimState | 'not-run'): Promise<void>
   /**
-   * Takes back what an earlier life left with a peer; call it before any `begin`, and again
-   * until it is done. True once nobody is left to ask.
+   * Takes back the claims that an earlier life handed over to a peer. Call it before any
+   * `begin`, and again until it returns true: no peer is left to ask.
    */
   recover(): Promise<boolean>
-  /** Leaves the memory with a peer before a planned stop. */
+  /** Hands the claims over to a peer before a planned stop. */
   leave(): Promise<void>
-  /** What peers ask of this entry. */
+  /** Handlers for calls from peers. */
   answer: {
     claim(id: string, owner: string, token: string): Verdict
     settle(id: string, state: ClaimState | 'not-run'): void
@@ -82,13 +87,14 @@
 
 /** Most claims that an entry remembers. */
 const MAX_CLAIMS = 200_000
-/** Time for which it is remembered who stands in for an owner, in ms. */
+/** Time for which the result of the search for a stand-in is cached, in ms. */
 const STAND_IN_CACHE_MS = 500
-/** Ids dated so far ahead of the own clock are not accepted, in s. */
+/** Ids dated more than this ahead of the own clock are not accepted, in s. */
 const MAX_ID_AHEAD_S = 15
 /**
- * Ids made so long after the start are new for certain, in s. An earlier life accepted
- * none dated later than its end and {@link MAX_ID_AHEAD_S}; the rest covers clocks that differ.
+ * Ids dated more than this after the start are certainly new, in s. An earlier life
+ * accepted no id dated more than {@link MAX_ID_AHEAD_S} after its end; the rest allows for
+ * clocks that differ.
  */
 const CLOCK_MARGIN_S = 30
 const unsure = (reason: string): Verdict => ({ kind: 'unsure', reason, standIn: false })
@@ -98,33 +104,33 @@
   standIn: true,
 })
 
-/** Creates the memory of one life. */
+/** Creates the at-most-once check for one life of this entry. */
 export function createOnce(opts: OnceOptions): Once {
   const { own, entries, peers, memoryMs, now, log } = opts
   const startedAt = now()
   const startedSeconds = opts.wallSeconds()
   const newRegistry = () => createClaimRegistry({ memoryMs, maxRecords: MAX_CLAIMS, now })
   const ownClaims = newRegistry()
-  /** Memory of entries that stopped as planned, until their next life takes it back. */
+  /** Claims of entries that stopped as planned, until their next life takes them back. */
   const handovers = new Map<
     string,
     { registry: ReturnType<typeof newRegistry>; complete: boolean }
   >()
-  /** The entry that granted each running request of this one. */
+  /** The entry that granted the claim of each request running here. */
   const grantedBy = new Map<string, string>()
   const peersOwnHallFirst = [...entries]
     .filter((entry) => entry.id !== own.id)
     .sort((a, b) => Number(a.hall !== own.hall) - Number(b.hall !== own.hall))
-  /** Who stands in for an owner, as last found out. */
+  /** Last search for a stand-in, by owner; `by` is undefined if none was found. */
   const standIns = new Map<string, { by: string | undefined; until: number }>()
   /**
-   * Entries that may hold the memory of an earlier life. Until each has been asked, one may
-   * stand in for this entry, and a later life may take that memory for the newest.
+   * Entries that may hold claims of an earlier life. Until all have been asked, one of them
+   * may stand in for this entry, and a later life may mistake those claims for the latest.
    */
   const unaskedPeers = new Set(
     opts.firstLife ? [] : peersOwnHallFirst.map(({ id }) => id),
   )
-  /** Those of them that did not answer, which is logged once each. */
+  /** Those of them that did not answer; each is logged once. */
   const silentPeers = new Set<string>()
   let recovered = opts.firstLife
   let isLeaving = false
@@ -134,7 +140,9 @@
     return recovered || unaskedPeers.size === 0
   }
 
-  /** Whether an id that is not in the book is new for certain, once everyone is asked. */
+  /**
+   * Whether an unclaimed id is certainly new, provided that all peers have been asked.
+   */
   function isCertainlyNew(id: string): boolean {
     if (recovered || now() - startedAt >= memoryMs) return true
     return createdAtSeconds(id) > startedSeconds + CLOCK_MARGIN_S
@@ -153,16 +161,18 @@
     const isInFuture = createdAtSeconds(id) > opts.wallSeconds() + MAX_ID_AHEAD_S
     if (isInFuture) return unsure('the id is dated in the future; check the clocks')
     if (isLeaving) return ownerUnavailable('the owner of the id is stopping')
-    if (!isCertain) return unsure('the owner of the id has started anew')
+    if (!isCertain)
+      return unsure('the owner of the id has restarted without all its claims')
     if (!registry.add({ id, state: 'running', ageMs: 0, token }))
-      return unsure('too many requests are remembered')
+      return unsure('the claims for unrepeatable requests have reached their limit')
     return { kind: 'first' }
   }
 
-  /** Decides as the owner, or for an owner whose memory is here. */
+  /** Decides as the owner of the id, or for an owner whose claims are here. */
   function decide(id: string, owner: string, token: string): Verdict {
     if (owner === own.id) {
-      if (!hasAskedAll()) return ownerUnavailable('the owner of the id lacks its memory')
+      if (!hasAskedAll())
+        return ownerUnavailable('the owner of the id has not recovered its claims yet')
       return claim(id, token, ownClaims, isCertainlyNew(id))
     }
     const legacy = handovers.get(owner)
@@ -178,15 +188,15 @@
   ): Promise<Verdict> {
     if (peer === own.id) return decide(id, owner, token)
     if (!opts.isReached(peer))
-      return ownerUnavailable(`${peer}, which owns the id, does not answer`)
+      return ownerUnavailable(`${peer} does not answer the claim of the id`)
     return peers
       .claim(peer, id, owner, token)
-      .catch(() => ownerUnavailable(`${peer}, which owns the id, does not answer`))
+      .catch(() => ownerUnavailable(`${peer} does not answer the claim of the id`))
   }
 
   /**
-   * Asks whoever stands in for the owner. That nobody does is remembered for a while, so
-   * that the loss of an entry does not multiply the messages of each request.
+   * Claims the id at the entry that stands in for the owner. The absence of a stand-in is
+   * cached too, so that the loss of an entry does not multiply the messages per request.
    */
   async function askStandIn(
     id: string,
@@ -195,13 +205,13 @@
   ): Promise<[string, Verdict]> {
     const none: [string, Verdict] = [
       owner,
-      ownerUnavailable('nobody stands in for the owner'),
+      ownerUnavailable('no entry stands in for the owner of the id'),
     ]
     const known = standIns.get(owner)
     if (known && now() < known.until) {
       if (known.by === undefined) return none
       const verdict = await ask(known.by, id, owner, token)
-      // It may have given the memory back to the owner's next life meanwhile.
+      // Meanwhile the stand-in may have returned the claims to the owner's next life.
       return verdict.kind === 'unsure' && verdict.standIn ? none : [known.by, verdict]
     }
     for (const { id: other } of [own, ...peersOwnHallFirst]) {
@@ -215,7 +225,7 @@
     return none
   }
 
-  /** Notes the state in whichever book knows the id. */
+  /** Records the state in every registry that knows the id. */
   function recordState(id: string, state: ClaimState | 'not-run'): void {
     const registries = [
       ownClaims,
@@ -256,7 +266,7 @@
       const by = grantedBy.get(id)
       grantedBy.delete(id)
       recordState(id, state)
-      // A lost message leaves the id claimed there: a repeat is then told "unknown".
+      // If this message is lost, the id stays claimed there: a repeat is told "unknown".
       if (by !== undefined && by !== own.id) {
         await peers.settle(by, id, state).catch(() => undefined)
       }
@@ -276,10 +286,10 @@
       if (isLeaving) return
       isLeaving = true
       const complete = recovered || (hasAskedAll() && now() - startedAt >= memoryMs)
-      // To one peer only: after a lost reply a second one would stand in as well.
+      // Only one peer is tried: after a lost reply, a second one would stand in as well.
       const successor = peersOwnHallFirst.find(({ id }) => opts.isReached(id))
       if (!successor) {
-        log.event('onceMemoryNotLeft', { reason: 'no other entry is reached' })
+        log.event('onceMemoryNotLeft', { reason: 'no other entry is reachable' })
         return
       }
       const legacy = { claims: ownClaims.records(), complete }
--- a/src/entry/ops.ts
+++ b/src/entry/ops.ts
@@ -1,23 +1,23 @@
-/** The operational face: /healthz, /readyz and /metrics. */
+/** HTTP server for operations: /healthz, /readyz and /metrics. */
 import { Hono } from 'hono'
 import type { Metrics } from '../shared/index.js'
 import { listen } from './front.js'
 
-/** What the face reports. */
+/** State that /readyz reports. */
 export interface OpsState {
-  /** Undefined when ready; otherwise why not. */
+  /** Why the process is not ready; undefined when it is. */
   notReady(): string | undefined
-  /** Set once a planned stop has begun; the balancer then sends nothing new. */
+  /** Whether a planned stop has begun; the load balancer then sends no new requests. */
   stopping(): boolean
 }
 
-/** The open face. */
+/** A running server for operations. */
 export interface Ops {
   port: number
   close(): Promise<void>
 }
 
-/** Opens the operational face. */
+/** Starts the server for operations. Rejects if the address cannot be used. */
 export async function createOps(opts: {
   state: OpsState
   metrics: Metrics
--- a/src/entry/rendezvous.ts
+++ b/src/entry/rendezvous.ts
@@ -1,7 +1,7 @@
-/** Rendezvous hashing: the same choice everywhere, and few changes when names change. */
+/** Rendezvous hashing: all processes choose alike, and a changed name moves few keys. */
 import { createHash } from 'node:crypto'
 
-/** Names by their score for the key, the highest first. */
+/** Names in descending order of their score for the key. */
 export function rankByHash(names: readonly string[], key: string): string[] {
   const scored = names.map((name) => {
     const score = createHash('sha1').update(`${name} ${key}`).digest('hex')
--- a/src/entry/requestIds.ts
+++ b/src/entry/requestIds.ts
@@ -1,20 +1,20 @@
-/** What the id of a request says of itself: its home hall and the time it was made. */
+/** Home hall and creation time of a request, as contained in its id. */
 import { rankByHash } from './rendezvous.js'
 
-/** One entry, with its hall. */
+/** An entry and its hall. */
 export interface EntryLocation {
   id: string
   hall: string
 }
 
-/** Ids that name their home hall and the time they were made: HALL.SECONDS.RANDOM. */
+/** Ids that contain their home hall and creation time: HALL.SECONDS.RANDOM. */
 const DATED_ID = /^([a-z0-9-]+)\.(\d{9,11})\.[\w-]+$/i
 
-/** Time of day in s at which the id was made; 0 where it does not say so. */
+/** Wall-clock time in s at which the id was created; 0 if the id does not contain it. */
 export const createdAtSeconds = (id: string): number =>
   Number(DATED_ID.exec(id)?.[2] ?? 0)
 
-/** The entry that owns the id; the same wherever the id arrives. */
+/** The entry that owns the id, whichever entry receives it. */
 export function ownerOf(id: string, entries: readonly EntryLocation[]): string {
   const halls = [...new Set(entries.map((entry) => entry.hall))]
   const named = DATED_ID.exec(id)?.[1] ?? ''
--- a/src/entry/retryBudget.ts
+++ b/src/entry/retryBudget.ts
@@ -1,17 +1,17 @@
-/** Keeps retries to a share of fresh requests, so that an outage is not multiplied. */
+/** Limits retries to a share of new requests, so that they do not multiply an outage. */
 
-/** Most retries saved up. */
+/** Most retries that may accumulate. */
 const MAX_SAVED_RETRIES = 20
 
 /** A budget of retries. */
 export interface RetryBudget {
-  /** Notes a fresh request. */
+  /** Counts a new request. */
   deposit(): void
-  /** Takes one retry out; false when none is left. */
+  /** Takes one retry; false when none is left. */
   withdraw(): boolean
 }
 
-/** Creates a budget that grows by `retryShare` for each fresh request. */
+/** Creates a budget of one retry that grows by `retryShare` with each new request. */
 export function createRetryBudget(retryShare: number): RetryBudget {
   let available = 1
   return {
--- a/src/entry/retryLoop.ts
+++ b/src/entry/retryLoop.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts of one request: choice of a target, sending, and whether another attempt
- * may follow. What is said at the end covers all attempts: "not run" only if none ran.
+ * Attempts of one request: chooses a target, sends the request and decides whether to
+ * retry. The result covers all attempts: it is `not-run` only if none of them ran.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { fullJitter, sleep } from '../shared/index.js'
@@ -18,19 +18,19 @@
 import { acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
-/** One request on its way. */
+/** A request being served, with its response. */
 export interface Exchange {
   call: Call
   req: IncomingMessage
   res: ServerResponse
   body: RequestBody
-  /** Fires when the caller leaves or the deadline passes. */
+  /** Cancelled when the caller disconnects or the deadline passes. */
   cancellation: Cancellation
 }
 
 /** Options of {@link createRetryLoop}. */
 export interface RetryLoopOptions {
-  /** Attempts per request at the most. */
+  /** Most attempts per request. */
   attempts: number
   choose: Policy
   budget: RetryBudget
@@ -46,11 +46,11 @@
 
 const noTarget: Failure = {
   kind: 'not-run',
-  reason: 'no target takes work',
+  reason: 'no target accepts requests',
   refusedByTarget: false,
 }
 
-/** Creates the function that sends a request; it never rejects. */
+/** Creates the function that sends a request with retries; it never rejects. */
 export function createRetryLoop(opts: RetryLoopOptions) {
   const { budget, log } = opts
 
@@ -73,7 +73,7 @@
       opts.recordAttempt(call.service, result.kind)
       if (!isFailure(result)) return result
       logFailure(call, target, result, attempt)
-      // Once an attempt may have run, a later one that did not changes nothing.
+      // A later attempt that did not run does not settle whether an earlier one ran.
       if (worstFailure.kind !== 'unknown') worstFailure = result
       if (!mayRepeat(result, exchange) || cancellation.cancelled) break
     }
@@ -101,9 +101,9 @@
   }
 }
 
-/** Whether the request may be sent once more after this failure. */
+/** Whether the request may be sent again after this failure. */
 function mayRepeat(result: Failure, { call, body }: Exchange): boolean {
-  // Bytes that were taken from the caller's stream cannot be sent again.
+  // Bytes read from the caller's stream cannot be sent again.
   if (body.kind === 'streamed' && body.isStarted()) return false
   return result.kind === 'not-run' || call.repeatable
 }
@@ -121,7 +121,11 @@
     const client = connection.value
     if (!acceptsRequests(target)) {
       target.release(client, true)
-      return { kind: 'not-run', reason: 'target is leaving', refusedByTarget: true }
+      return {
+        kind: 'not-run',
+        reason: 'target accepts no new requests',
+        refusedByTarget: true,
+      }
     }
     const headers = headersForTarget(req.rawHeaders)
     if (!call.idGiven) headers.push(REQUEST_ID_HEADER, call.id)
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one request from its head to the end of its answer: admission, choice of a
- * target, attempts. Written straight down; one call per request.
+ * Serves a request from its head to the end of its answer: admission, choice of a target,
+ * attempts.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { nanoid } from 'nanoid'
@@ -27,14 +27,13 @@
 import type { Exchange } from './retryLoop.js'
 import type { TargetView } from './targetView.js'
 
-/** Serves requests. */
 export interface Router {
-  /** Serves one request; resolves when its answer has ended. Never rejects. */
+  /** Serves a request; resolves when its answer has ended. Never rejects. */
   serve(req: IncomingMessage, res: ServerResponse): Promise<void>
-  /** Requests in flight and waiting, per service. */
+  /** Requests in flight and queued, per service. */
   loads(): { service: string; inFlight: number; queued: number }[]
   loadOf(service: string): { inFlight: number; queued: number }
-  /** Lets waiting requests start if there is room now. */
+  /** Admits queued requests up to the capacity. */
   wake(): void
   /** Requests that have not ended, over all services. */
   open(): number
@@ -48,18 +47,20 @@
   table: TableHolder
   view: TargetView
   once: Pick<Once, 'begin' | 'end'>
-  /** How many requests of a service may be in flight here now. */
+  /** Most requests of a service that may be in flight here now. */
   usable(service: string): number
   log: Logger
   metrics: Metrics
   /**
-   * How targets are chosen.
+   * Policy for choosing targets.
    * @default 'twoChoices'
    */
   policy?: PolicyName
 }
 
-/** What a request ended with: an outcome for the caller, or nobody left to tell. */
+/**
+ * How a request ended: an outcome for the caller, or a caller that cannot be answered.
+ */
 type Ending = Outcome | 'broken' | 'caller-left'
 
 const ADMISSION_REFUSALS: Record<Exclude<Admission, 'admitted'>, RefusalKind> = {
@@ -71,7 +72,7 @@
 /** Weight of a team that owns no service. */
 const DEFAULT_WEIGHT = 1
 
-/** A team's share of the turns: the weights of its services together. */
+/** Weight of each team: the sum of the weights of its services. */
 function teamWeights(services: Iterable<ServiceLine>): Map<string, number> {
   const weights = new Map<string, number>()
   for (const { team, weight } of services) {
@@ -89,7 +90,7 @@
   const drainWaiters: (() => void)[] = []
   let open = 0
 
-  // Labelled once: looking labels up for each request shows in the profile.
+  // Cached, because looking up labels for each request takes noticeable CPU time.
   const metricsOf = memoize((service) => ({
     outcome: memoize((outcome) => metrics.requests.labels({ service, outcome })),
     attempt: memoize((result) => metrics.attempts.labels({ service, result })),
@@ -194,9 +195,10 @@
     budget.deposit()
     const limiter = limiterOf(call.service)
     const priority = call.priority ?? line.priority
-    if (line.limit === 0) return refuseAs(exchange, 'no target', 'the limit is 0')
+    if (line.limit === 0)
+      return refuseAs(exchange, 'no target', 'the limit of the service is 0')
     if (slotsOf(call.service) === 0 && priority !== 'deferrable') {
-      return refuseAs(exchange, 'no target', 'no target takes work')
+      return refuseAs(exchange, 'no target', 'no target accepts requests')
     }
     const { deadline } = call
     const team = call.team ?? line.team
@@ -215,7 +217,7 @@
     }
   }
 
-  /** Asks a few times while the owner is being replaced. */
+  /** Claims the id, again for some time while its owner is being replaced. */
   async function claimOnce({ call, cancellation }: Exchange): Promise<Verdict> {
     const token = nanoid()
     let verdict = await opts.once.begin(call.id, token)
@@ -228,13 +230,17 @@
     return verdict
   }
 
-  /** An unrepeatable request that its caller may send again: sent only if it is new. */
+  /** Sends an unrepeatable request with a caller's id only if the id is new. */
   async function serveOnce(exchange: Exchange): Promise<Ending> {
     const { id } = exchange.call
     const verdict = await claimOnce(exchange)
     if (verdict.kind === 'unsure') return refuseAs(exchange, 'unsure', verdict.reason)
     if (verdict.kind === 'repeat') {
-      return refuseAs(exchange, 'repeat', `the first one: ${verdict.state}`)
+      return refuseAs(
+        exchange,
+        'repeat',
+        `state of the first request with this id: ${verdict.state}`,
+      )
     }
     const ending = await sendToTarget(exchange)
     const state = ending === 'broken' || ending === 'caller-left' ? 'unknown' : ending
--- a/src/entry/target.ts
+++ b/src/entry/target.ts
@@ -1,4 +1,6 @@
-/** One target as this entry sees it: counts, health, exclusion. One task watches each. */
+/**
+ * A target as seen by this entry: load, health, exclusion. One task checks its health.
+ */
 import type { Client } from 'undici'
 import type { Result } from 'neverthrow'
 import { createStopController, jittered, monotonicMs, sleep } from '../shared/index.js'
@@ -11,30 +13,30 @@
 export interface Target extends TargetIdentity {
   service: string
   slots: number
-  /** Requests of this entry that run there. */
+  /** Requests of this entry in flight at the target. */
   inFlight: number
-  /** Load that the target last reported, over all entries. */
+  /** Load over all entries, as last reported by the target. */
   reportedLoad: number
-  /** Own requests in flight when it reported. */
+  /** Requests of this entry in flight at the time of that report. */
   inFlightAtReport: number
-  /** The VM's row says that it takes work. */
+  /** Whether the rows of its job and VM allow new requests. */
   active: boolean
-  /** The platform's list says that the VM leaves. */
+  /** Whether the platform lists the VM as leaving. */
   listedLeaving: boolean
-  /** The target itself says that it drains, to this entry or to another one. */
+  /** Whether the target has told this entry or another one that it drains. */
   draining: boolean
-  /** It said so to this entry. */
+  /** Whether the target has told this entry that it drains. */
   reportsDraining: boolean
-  /** The address answered as somebody else. */
+  /** Whether another VM, incarnation or job answered at the address. */
   isMismatched: boolean
-  /** Monotonic time in ms until which it is excluded; 0 when it is not. */
+  /** Monotonic time in ms until which the target is excluded; 0 when it is not. */
   excludedUntil: number
   failuresInRow: number
   acquire(): Promise<Result<Client, RillshuntError>>
   release(client: Client, reusable: boolean): void
-  /** Notes what another entry was told. */
+  /** Sets whether the target has told another entry that it drains. */
   setPeerDraining(draining: boolean): void
-  /** Notes how an attempt went. */
+  /** Records the result of a request or health check. */
   recordAttempt(isSuccess: boolean): void
   close(): Promise<void>
 }
@@ -47,16 +49,16 @@
   connectTimeoutMs: number
   healthIntervalMs: number
   /**
-   * Whether this entry is the one that asks the target for its health.
+   * Whether this entry is assigned to check the target's health.
    * @default always
    */
   isHealthCheckAssigned?: () => boolean
-  /** Called when the target has told this entry that it drains, or no longer does. */
+  /** Called when the target begins or ceases to tell this entry that it drains. */
   onDraining?: () => void
   log: Logger
 }
 
-/** Creates a target and starts its health task. */
+/** Creates a target and starts its health check task. */
 export function createTarget(opts: TargetOptions): Target {
   const { identity, log } = opts
   const stopping = createStopController()
@@ -119,7 +121,7 @@
   function readmit(): void {
     if (target.excludedUntil === 0 || target.excludedUntil > monotonicMs()) return
     target.excludedUntil = 0
-    // On probation: the next failure excludes it again, for twice as long.
+    // One more failure excludes the target again, for twice as long.
     target.failuresInRow = EXCLUDE_AFTER_FAILURES - 1
     log.event('targetReadmitted', { ...identity, service: opts.service })
   }
@@ -131,7 +133,7 @@
     }
   }
 
-  /** An excluded or foreign target is asked by each entry for itself. */
+  /** An excluded, mismatched or draining target is checked by every entry. */
   function isCheckDue(): boolean {
     const { excludedUntil, isMismatched, reportsDraining } = target
     if (excludedUntil > 0 || isMismatched || reportsDraining) return true
@@ -169,7 +171,7 @@
   return target
 }
 
-/** Whether the target may get new work. */
+/** Whether the target may receive new requests. */
 export function acceptsRequests(target: Target): boolean {
   const { active, listedLeaving, draining, isMismatched } = target
   return active && !listedLeaving && !draining && !isMismatched
--- a/src/entry/targetConnection.ts
+++ b/src/entry/targetConnection.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to one target. Each is asked who answers before it carries a request,
- * and never connects again by itself: an address that another VM or a later
- * incarnation has taken over is noticed before any byte of a request is sent.
+ * Connections to one target. The identity at the other end of each is verified before it
+ * carries a request, and it never reconnects by itself. An address that another VM or a
+ * later incarnation has taken over is thus detected before any byte of a request is sent.
  */
 import { err, fromThrowable, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -11,19 +11,19 @@
 import { RillshuntError, describeError } from '../shared/index.js'
 import { HEALTH_PATH, IDLE_TIMEOUT_MS, MAX_IDLE_CONNECTIONS } from './constants.js'
 
-/** What a target says of itself. */
+/** Answer of a target to a health request. */
 export const healthSchema = z.object({
   vm: z.string(),
   incarnation: z.string(),
   /** Task id; an address may be reused by another service of the same VM. */
   job: z.string(),
   state: z.enum(['ok', 'draining']),
-  /** Requests that it runs or holds. */
+  /** Requests running or waiting at the target. */
   load: z.number().int().min(0),
 })
 export type Health = z.infer<typeof healthSchema>
 
-/** Who must answer at an address. */
+/** Identity that must answer at an address. */
 export interface TargetIdentity {
   job: string
   vm: string
@@ -33,11 +33,11 @@
 
 /** Verified connections to one target. */
 export interface TargetConnections {
-  /** A connection that is free and proved; it belongs to the caller until given back. */
+  /** Returns a verified connection for exclusive use until `release`. */
   acquire(): Promise<Result<Client, RillshuntError>>
-  /** Gives a connection back; one that is not reusable is closed. */
+  /** Returns a connection to the pool; one that is not reusable is closed. */
   release(client: Client, reusable: boolean): void
-  /** Asks for health on a proved connection. */
+  /** Requests the health and verifies the identity in the answer. */
   health(): Promise<Result<Health, RillshuntError>>
   close(): Promise<void>
 }
@@ -45,13 +45,13 @@
 /** Options of {@link createTargetConnections}. */
 export interface TargetConnectionsOptions {
   identity: TargetIdentity
-  /** Longest wait for a proved connection, in ms. */
+  /** Longest time to open and verify a connection, in ms. */
   connectTimeoutMs: number
   /** Called when the address answers as another VM, incarnation or job. */
   onMismatch: (found: Health) => void
 }
 
-/** Creates the pool; nothing is connected before the first use. */
+/** Creates the pool, which connects on demand. */
 export function createTargetConnections(
   opts: TargetConnectionsOptions,
 ): TargetConnections {
@@ -98,11 +98,14 @@
     if (matchesIdentity(health, identity)) return ok(health)
     opts.onMismatch(health)
     drop(client)
-    return fail('identity', `answers as ${health.vm}/${health.incarnation}/${health.job}`)
+    return fail(
+      'identity',
+      `another target answers: ${health.vm}/${health.incarnation}/${health.job}`,
+    )
   }
 
   async function acquire(): Promise<Result<Client, RillshuntError>> {
-    if (closed) return fail('connect', 'target is removed')
+    if (closed) return fail('connect', 'target was removed')
     const idleClient = idle.pop()
     if (idleClient) return ok(idleClient)
     const client = connect()
@@ -133,8 +136,8 @@
 }
 
 /**
- * Asks for health through a bare handler: at one check a second and target, the comfort of
- * `request` with an abort signal showed in the idle processor time.
+ * Requests the health through a dispatch handler: at one check per second and target,
+ * `request` with an abort signal takes noticeable CPU time on an idle entry.
  */
 function requestHealth(
   client: Client,
@@ -174,12 +177,14 @@
   return health.vm === vm && health.incarnation === incarnation && health.job === job
 }
 
-/** A connector that refuses the second use, so that undici cannot connect again unseen. */
+/**
+ * A connector that fails on its second use, so that undici cannot reconnect by itself.
+ */
 function connectOnce(timeout: number): Connector.connector {
   const connector = buildConnector({ timeout })
   let used = false
   return (options, callback) => {
-    if (used) return callback(new Error('the proved connection is lost'), null)
+    if (used) return callback(new Error('the verified connection was lost'), null)
     used = true
     return connector(options, callback)
   }
--- a/src/entry/targetView.ts
+++ b/src/entry/targetView.ts
@@ -1,6 +1,6 @@
 /**
- * The targets of the own hall, by service, from the rows of jobs and VMs and from the
- * platform's list. A target gets new work only while all sources allow it.
+ * Targets of the own hall by service, from the rows of jobs and VMs and from the platform's
+ * VM list. A target receives new requests only while all of these sources allow it.
  */
 import type { ResolvedConfig } from '../config/index.js'
 import {
@@ -22,22 +22,25 @@
 import { createTarget, acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
-/** The targets that this entry knows. */
+/** Targets known to this entry. */
 export interface TargetView {
-  /** Targets of a service, leaving ones included. */
+  /** Targets of a service, including those that are leaving. */
   targets(service: string): readonly Target[]
   all(): Iterable<Target>
-  /** Generation and own requests in flight of every VM that is leaving. */
+  /**
+   * Every leaving VM, with its generation and the requests of this entry in flight
+   * there.
+   */
   leaving(): { vm: string; generation: number; inFlight: number }[]
-  /** Jobs whose target has told this entry that it drains. */
+  /** Jobs whose targets have told this entry that they drain. */
   draining(): string[]
-  /** Notes the jobs whose targets have told other entries so. */
+  /** Sets the jobs whose targets have told other entries that they drain. */
   notePeerDraining(jobs: ReadonlySet<string>): void
-  /** Own requests in flight of every job that is stopping. */
+  /** Every stopping job, with the requests of this entry in flight there. */
   stopping(): { job: string; inFlight: number }[]
-  /** The platform's list was read, and the VM is not on it. */
+  /** Whether the platform's VM list has been read and does not contain the VM. */
   isOffList(vm: string): boolean
-  /** Calls back when the set of targets or their state changes. */
+  /** Calls back when targets or their states change. Returns an unsubscriber. */
   subscribe(listener: () => void): () => void
   stop(): Promise<void>
 }
@@ -48,15 +51,15 @@
   platform: Platform
   rows: RowWatch
   table: TableHolder
-  /** Entries of the hall that answer, without this one. */
+  /** Other reachable entries of the hall. */
   reachedEntries(): readonly string[]
-  /** Tells the other entries at once what a target has said. */
+  /** Tells the other entries at once that a target began or ceased to drain. */
   tellPeers(): void
   log: Logger
   metrics: Metrics
 }
 
-/** Creates the view and starts to follow the rows and the list. */
+/** Creates the view and starts to watch the rows and to poll the VM list. */
 export function createTargetView(opts: TargetViewOptions): TargetView {
   const { cfg, rows, log, metrics } = opts
   const { hall } = cfg.node
@@ -65,7 +68,7 @@
   const listeners = new Set<() => void>()
   const stopping = createStopController()
   const healthChecks = createHealthCheckAssignment(cfg.node.id, opts.reachedEntries)
-  /** Targets without a row that still run requests of this entry. */
+  /** Targets without a row that may still run requests of this entry. */
   const removedTargets = new Set<Target>()
   let listedLeaving = new Set<string>()
   let listed: Set<string> | undefined
