--- a/src/entry/__tests__/policy.spec.ts
+++ b/src/entry/__tests__/policy.spec.ts
@@ -91,7 +91,7 @@
   const ask = (priority: Priority, team = 't') => {
     return { priority, team, deadline: farDeadline(), cancellation: createCancellation() }
   }
-  const limiterOf = (maxQueue: number, weights: Record<string, number> = {}) =>
+  const createTestLimiter = (maxQueue: number, weights: Record<string, number> = {}) =>
     createLimiter({ capacity: () => 1, maxQueue, weightOf: (team) => weights[team] ?? 1 })
 
   /** Admits one and lets all others wait; gives the order in which they then start. */
@@ -147,7 +147,7 @@
     )
     await fc.assert(
       fc.asyncProperty(waiting, async (list) => {
-        const limiter = limiterOf(100, weights)
+        const limiter = createTestLimiter(100, weights)
         t.deepEqual(await orderOf(limiter, list), naiveOrder(list, weights))
         t.is(limiter.inFlight() + limiter.queued(), 0)
       }),
@@ -163,12 +163,12 @@
       ['normal', 'x'],
       ['normal', 'y'],
     ]
-    const order = await orderOf(limiterOf(100), [...flood, ...peers])
+    const order = await orderOf(createTestLimiter(100), [...flood, ...peers])
     t.true(order.indexOf(50) <= 4 && order.indexOf(51) <= 4)
   })
 
   it('with a full queue refuses the longest team of the last band, not the newcomer', async (t) => {
-    const limiter = limiterOf(3)
+    const limiter = createTestLimiter(3)
     await limiter.admit(ask('normal'))
     const flood = [1, 2, 3].map(() => limiter.admit(ask('normal', 'flood')))
     const other = limiter.admit(ask('normal', 'other'))
@@ -183,7 +183,7 @@
   })
 
   it('does not start what would hardly be answered in time', async (t) => {
-    const limiter = limiterOf(9)
+    const limiter = createTestLimiter(9)
     for (let i = 0; i < 200; i++) {
       await limiter.admit(ask('normal'))
       limiter.release(1000)
@@ -202,7 +202,7 @@
   })
 
   it('forgets callers that leave', async (t) => {
-    const limiter = limiterOf(9)
+    const limiter = createTestLimiter(9)
     await limiter.admit(ask('normal'))
     const leaving = createCancellation()
     const waiting = limiter.admit({ ...ask('normal'), cancellation: leaving })
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -169,7 +169,7 @@
   }
 
   /** Decides as the owner of the id, or for an owner whose claims are here. */
-  function decide(id: string, owner: string, token: string): Verdict {
+  function decideClaim(id: string, owner: string, token: string): Verdict {
     if (owner === own.id) {
       if (!hasAskedAll())
         return ownerUnavailable('the owner of the id has not recovered its claims yet')
@@ -180,13 +180,13 @@
     return claim(id, token, legacy.registry, legacy.complete)
   }
 
-  async function ask(
+  async function claimAt(
     peer: string,
     id: string,
     owner: string,
     token: string,
   ): Promise<Verdict> {
-    if (peer === own.id) return decide(id, owner, token)
+    if (peer === own.id) return decideClaim(id, owner, token)
     if (!opts.isReached(peer))
       return ownerUnavailable(`${peer} does not answer the claim of the id`)
     return peers
@@ -198,7 +198,7 @@
    * Claims the id at the entry that stands in for the owner. The absence of a stand-in is
    * cached too, so that the loss of an entry does not multiply the messages per request.
    */
-  async function askStandIn(
+  async function claimAtStandIn(
     id: string,
     owner: string,
     token: string,
@@ -210,13 +210,13 @@
     const known = standIns.get(owner)
     if (known && now() < known.until) {
       if (known.by === undefined) return none
-      const verdict = await ask(known.by, id, owner, token)
+      const verdict = await claimAt(known.by, id, owner, token)
       // Meanwhile the stand-in may have returned the claims to the owner's next life.
       return verdict.kind === 'unsure' && verdict.standIn ? none : [known.by, verdict]
     }
     for (const { id: other } of [own, ...peersOwnHallFirst]) {
       if (other === owner) continue
-      const verdict = await ask(other, id, owner, token)
+      const verdict = await claimAt(other, id, owner, token)
       if (verdict.kind === 'unsure') continue
       standIns.set(owner, { by: other, until: now() + STAND_IN_CACHE_MS })
       return [other, verdict]
@@ -255,9 +255,9 @@
     async begin(id, token) {
       const owner = ownerOf(id, entries)
       let by = owner
-      let verdict = await ask(owner, id, owner, token)
+      let verdict = await claimAt(owner, id, owner, token)
       if (verdict.kind === 'unsure' && verdict.standIn) {
-        ;[by, verdict] = await askStandIn(id, owner, token)
+        ;[by, verdict] = await claimAtStandIn(id, owner, token)
       }
       if (verdict.kind === 'first') grantedBy.set(id, by)
       return verdict
@@ -301,7 +301,7 @@
       })
     },
     answer: {
-      claim: decide,
+      claim: decideClaim,
       settle: recordState,
       collect(from) {
         const legacy = handovers.get(from)
