--- a/src/entry/__tests__/allotments.spec.ts
+++ b/src/entry/__tests__/allotments.spec.ts
@@ -6,7 +6,7 @@
 const SERVICE = 's'
 const IDS = ['e1', 'e2', 'e3', 'e4']
 
-/** One step of a run over a network that loses, delays, repeats and reorders. */
+/** One step of a run over a network that loses, delays, repeats and reorders messages. */
 type Op =
   | { kind: 'step' | 'fill' | 'finish' | 'queue' | 'idle' | 'restart'; at: number }
   | { kind: 'send'; at: number; to: number }
@@ -37,10 +37,10 @@
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('exchange' as const) }) },
 )
 
-/** Entries over a small fake network. */
+/** Entries connected by a simulated network. */
 function createCluster(limitOf: (entry: number) => number) {
   const network: { from: string; to: number; message: LoanMessage }[] = []
-  /** All messages ever sent; any may arrive once more. */
+  /** All messages ever sent; any may be delivered again. */
   const history: typeof network = []
   const nodes: {
     allotments: Allotments
@@ -124,7 +124,7 @@
 }
 
 describe('createAllotments', () => {
-  it('never lets more run than the limit, whatever happens to messages and entries', (t) => {
+  it('never admits more than the limit when messages are lost, repeated or reordered and entries restart', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 0, max: 24 }),
@@ -142,7 +142,7 @@
     )
   })
 
-  it('holds the larger limit while a lower one spreads, and the lower one once old requests have ended', (t) => {
+  it('keeps to the larger limit while a lower one spreads, and to the lower one once old requests have ended', (t) => {
     const ops = fc.array(op, { maxLength: 80, size: 'max' })
     fc.assert(
       fc.property(ops, ops, (before, during) => {
@@ -169,7 +169,7 @@
     )
   })
 
-  it('follows uneven demand: one entry gets most of the limit', (t) => {
+  it('gives one entry most of the limit when only that entry has demand', (t) => {
     const cluster = createCluster(() => 48)
     cluster.exchangeAll()
     cluster.nodes[0]!.queued = 48
@@ -182,7 +182,7 @@
     t.true(cluster.total() <= 48)
   })
 
-  it('gives back what is not needed, and reaches every part again', (t) => {
+  it('returns unused tokens until every entry has its own part again', (t) => {
     const cluster = createCluster(() => 48)
     cluster.exchangeAll()
     cluster.nodes[0]!.queued = 48
@@ -193,7 +193,7 @@
       t.is(cluster.nodes[i]!.allotments.usable(SERVICE), 12)
   })
 
-  it('a fresh life uses a quarter until all have told what they still hold', (t) => {
+  it('limits a new life to a quarter of its part until all peers have reported the tokens they hold', (t) => {
     const cluster = createCluster(() => 48)
     cluster.exchangeAll()
     cluster.apply({ kind: 'restart', at: 1 })
--- a/src/entry/__tests__/entry.spec.ts
+++ b/src/entry/__tests__/entry.spec.ts
@@ -33,7 +33,7 @@
 
 describe('entry', () => {
   describe('answers', () => {
-    it('passes a request to a target and its whole answer back', async (t) => {
+    it('forwards a request to a target and returns the whole answer', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1')
       const reply = await call(rig, '/s/rank/1?x=2', { method: 'POST', body: 'abc' })
@@ -46,15 +46,15 @@
       })
     })
 
-    it('leaves it to the balancer to close an idle connection', async (t) => {
+    it('keeps an idle connection open longer than load balancers do', async (t) => {
       const rig = await setUp(t)
       const reply = await call(rig, '/nothing')
       const kept = /^timeout=(\d+)$/.exec(String(reply.headers['keep-alive']))
-      // Balancers keep idle connections for 60 s where nothing else is set.
+      // Load balancers keep idle connections for 60 s by default.
       t.true(Number(kept?.[1]) > 60)
     })
 
-    it('streams a large body with backpressure, so that it is never held', async (t) => {
+    it('streams a large body with backpressure instead of buffering it', async (t) => {
       const rig = await setUp(t)
       let letRead = () => {}
       const readsAfter = new Promise<void>((resolve) => (letRead = resolve))
@@ -68,19 +68,19 @@
         })(),
       )
       const reply = call(rig, '/s/replay', { method: 'POST', body })
-      // The caller stalls once the buffers of the sockets are full.
+      // The caller stalls once the socket buffers are full.
       for (let before = -1; before !== sent || sent === 0;) {
         before = sent
         await new Promise((resolve) => setTimeout(resolve, 200))
       }
-      t.true(sent < chunks / 2, `${sent} MB were taken before the target read any`)
+      t.true(sent < chunks / 2, `${sent} MB were accepted before the target read any`)
       letRead()
       t.like(JSON.parse((await reply).body) as object, {
         received: chunks * chunk.length,
       })
     })
 
-    it('makes an answer that breaks off visibly broken, and does not try again', async (t) => {
+    it('closes the connection when the answer breaks off, without a retry', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1', { breaksAnswers: true })
       await t.throwsAsync(
@@ -99,7 +99,7 @@
   })
 
   describe('not run', () => {
-    it('for an unknown service, a wrong header and a missing target', async (t) => {
+    it('is given for an unknown service, an invalid request and a missing target', async (t) => {
       const rig = await setUp(t)
       t.like(await call(rig, '/nope/x'), { status: 404, outcome: 'not-run' })
       t.like(await call(rig, '/'), { status: 400, outcome: 'not-run' })
@@ -110,7 +110,7 @@
       t.is(none.headers['retry-after'], '1')
     })
 
-    it('when nobody listens at the target, and another target is tried', async (t) => {
+    it('is given when nothing listens at the target; another target is used once there is one', async (t) => {
       const rig = await setUp(t, { requests: { retry_share: '1' } })
       const { target } = await rig.addTarget('v1')
       await target.kill()
@@ -124,7 +124,7 @@
       for (let i = 0; i < 5; i++) t.like(await call(rig, '/s/x'), { outcome: 'answered' })
     })
 
-    it('when the deadline passes while it waits for a slot', async (t) => {
+    it('is given when the deadline passes while the request waits for a slot', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1', { hangs: true })
       const hanging = Array.from({ length: 8 }, () =>
@@ -141,7 +141,7 @@
   })
 
   describe('unknown', () => {
-    it('when the target dies after the body was sent; an unrepeatable one is not sent again', async (t) => {
+    it('is given when the target dies after the body was sent, without a retry of an unrepeatable request', async (t) => {
       const rig = await setUp(t, { requests: { retry_share: '1' } })
       const { target } = await rig.addTarget('v1', { hangs: true })
       const headers = { 'rillshunt-request-id': 'r1' }
@@ -153,7 +153,7 @@
       t.is(rig.ledger.get('r1'), 1)
     })
 
-    it('but a repeatable one is tried at another target', async (t) => {
+    it('is avoided for a repeatable request by a retry at another target', async (t) => {
       const rig = await setUp(t, { requests: { retry_share: '1' } })
       const { target } = await rig.addTarget('v1', { hangs: true })
       const headers = { 'rillshunt-request-id': 'r1' }
@@ -165,17 +165,17 @@
       t.is(rig.ledger.get('r1'), 2)
     })
 
-    it('when the deadline passes after sending', async (t) => {
+    it('is given when the deadline passes after sending', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1', { hangs: true })
-      // Long enough that the request is sent before it passes, on a busy machine too.
+      // Long enough for the request to be sent before it passes on a loaded machine.
       const headers = { 'rillshunt-deadline-ms': '2000' }
       t.like(await call(rig, '/s/x', { headers }), { status: 504, outcome: 'unknown' })
     })
   })
 
   describe('leaving targets', () => {
-    it('get no new work once their row says so, and finish what they have', async (t) => {
+    it('receive no new requests once their row says so, and finish those in flight', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1', { meanMs: 200 })
       const headers = { 'rillshunt-request-id': 'r1' }
@@ -187,7 +187,7 @@
       t.like(await running, { status: 200 })
     })
 
-    it('get no new work once they say so themselves, with the platform away', async (t) => {
+    it('receive no new requests once they report draining, even while the platform is unreachable', async (t) => {
       const rig = await setUp(t)
       const { target } = await rig.addTarget('v1')
       rig.standIn.faults.outage = true
@@ -227,7 +227,7 @@
   })
 
   describe('planned stop', () => {
-    it('lets requests in flight end', async (t) => {
+    it('lets requests in flight finish', async (t) => {
       const rig = await startRig()
       await rig.addTarget('v1', { meanMs: 100 })
       const ids = Array.from({ length: 8 }, (_, i) => `r${i}`)
@@ -241,8 +241,8 @@
       await stopped
     })
 
-    it('tells the balancer first', async (t) => {
-      // Long enough that a busy machine asks within it.
+    it('fails the readiness check while callers are still answered', async (t) => {
+      // Long enough for a loaded machine to check the readiness within it.
       const rig = await startRig({ requests: { drain_notice: '3s' } })
       t.is((await request(`${rig.opsUrl}/readyz`)).statusCode, 200)
       const stopped = rig.stop()
@@ -254,8 +254,8 @@
     })
   })
 
-  describe('operational face', () => {
-    it('gives metrics', async (t) => {
+  describe('operations server', () => {
+    it('serves metrics', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1')
       await call(rig, '/s/x')
@@ -264,8 +264,8 @@
     })
   })
 
-  describe('hostile input', () => {
-    it('gets an answer or a closed connection, and the entry goes on serving', async (t) => {
+  describe('malformed input', () => {
+    it('is answered or closes the connection, and the entry keeps serving', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1')
       const { port } = rig.kernel.get('front').address
--- a/src/entry/__tests__/once.spec.ts
+++ b/src/entry/__tests__/once.spec.ts
@@ -17,14 +17,14 @@
 /** A token for one request. */
 const newToken = () => `t${tokens++}`
 
-/** An id that names no hall, and whose home is hall a. */
+/** An id that contains no hall; its home is hall a. */
 const PLAIN = 'w'
 const MEMORY_MS = 600_000
-/** Ids of one owner that were made 100 s after the entries first started. */
+/** Ids of the same owner, dated 100 s after the first start of the entries. */
 const DATED = 'a.1700000100.z'
 const LATER = 'a.1700000100.c'
 
-/** Entries whose links can be cut and whose memory can be lost. */
+/** Entries whose links can be cut and whose claims can be lost. */
 function createCluster() {
   const nodes = new Map<string, Once>()
   const cut = new Set<string>()
@@ -93,7 +93,7 @@
     cutOff(id: string) {
       for (const other of ENTRIES) if (other.id !== id) cut.add(linkOf(id, other.id))
     },
-    /** Mends all links of an entry. */
+    /** Restores all links of an entry. */
     join(id: string) {
       for (const other of ENTRIES) cut.delete(linkOf(id, other.id))
     },
@@ -102,7 +102,7 @@
       else gone.delete(id)
     },
     setLoseReplies: (lose: boolean) => (loseReplies = lose),
-    /** Messages that asked for an id. */
+    /** Number of claim messages so far. */
     claims: () => claims,
     advance: (ms: number) => (now += ms),
   }
@@ -154,7 +154,7 @@
 )
 
 describe('createOnce', () => {
-  it('lets no id run twice, through any entry, cuts, lost replies, kills and planned stops', async (t) => {
+  it('lets no id run twice through any entries, with cut links, lost replies, kills and planned stops', async (t) => {
     let ran = 0
     await fc.assert(
       fc.asyncProperty(fc.array(op, { maxLength: 60, size: 'max' }), async (ops) => {
@@ -180,11 +180,11 @@
       }),
       { numRuns: 1500 },
     )
-    t.true(ran > 1000, 'the runs hardly let anything through')
+    t.true(ran > 1000, 'too few requests ran for the property to be tested')
   })
 
   describe('a repeat', () => {
-    it('is known at every entry of the home hall, and in another hall by its dated id', async (t) => {
+    it('is detected at every entry of the home hall, and in another hall by its dated id', async (t) => {
       const cluster = createCluster()
       const id = 'a.1700000010.z'
       t.is((await cluster.node('b1').begin(id, newToken())).kind, 'first')
@@ -197,7 +197,7 @@
       }
     })
 
-    it('is new again after the first one was told not-run', async (t) => {
+    it('is granted after the first request ended with not-run', async (t) => {
       const cluster = createCluster()
       for (const { id: at } of ENTRIES.slice(0, 3)) {
         t.is((await cluster.node(at).begin(PLAIN, newToken())).kind, 'first')
@@ -205,7 +205,7 @@
       }
     })
 
-    it('is known while each entry is replaced in turn, and after it', async (t) => {
+    it('is detected while the entries are replaced one by one, and afterwards', async (t) => {
       const cluster = createCluster()
       await cluster.node('a1').begin(PLAIN, newToken())
       await cluster.node('a1').end(PLAIN, 'answered')
@@ -221,14 +221,14 @@
     })
   })
 
-  it('does not multiply messages while nobody can tell', async (t) => {
+  it('does not multiply messages while no entry can decide', async (t) => {
     const owner = ownerOf(PLAIN, ENTRIES)
     const cluster = createCluster()
     cluster.kill(owner)
     await cluster.node(owner).recover()
     const before = cluster.claims()
     for (let n = 0; n < 20; n++) await cluster.node('b1').begin(PLAIN, newToken())
-    // The owner itself said that it is unsure: one message each, and nobody else is asked.
+    // The owner itself answers unsure: one message each, and no other entry is asked.
     t.is(cluster.claims() - before, 20)
     const cut = createCluster()
     cut.cutOff(owner)
@@ -237,11 +237,11 @@
     const lacking = createCluster()
     lacking.kill(owner)
     for (let n = 0; n < 20; n++) await lacking.node('b1').begin(PLAIN, newToken())
-    // The owner may have its memory at any time, so it is asked each time.
+    // The owner may recover its claims at any time, so it is asked each time.
     t.true(lacking.claims() <= 20 + ENTRIES.length)
   })
 
-  it('knows a request that asks again after a lost reply', async (t) => {
+  it('grants a claim to the same request again after a lost reply', async (t) => {
     const cluster = createCluster()
     const owner = ownerOf(PLAIN, ENTRIES)
     cluster.setLoseReplies(true)
@@ -253,8 +253,8 @@
     t.is((await cluster.node('b2').begin(PLAIN, 'other')).kind, 'repeat')
   })
 
-  describe('memory that is lost', () => {
-    it('is logged by the entry that could leave it with nobody', async (t) => {
+  describe('lost claims', () => {
+    it('are logged by the entry that could not hand them over', async (t) => {
       const cluster = createCluster()
       cluster.setLoseReplies(true)
       await cluster.node('a1').leave()
@@ -265,7 +265,7 @@
       t.deepEqual(alone.events(), ['onceMemoryNotLeft'])
     })
 
-    it('is logged by the next life, but not memory that was found', async (t) => {
+    it('are logged by the next life, unlike recovered ones', async (t) => {
       const cluster = createCluster()
       await cluster.stopAndStart('a1')
       await cluster.node('a1').recover()
@@ -284,8 +284,8 @@
     })
   })
 
-  describe('a life that could not ask for its memory', () => {
-    /** An entry whose memory lies with a peer that its next life does not reach. */
+  describe('a life that could not recover its claims', () => {
+    /** An entry whose claims are held by a peer that its next life cannot reach. */
     async function cutOffFromSuccessor() {
       const cluster = createCluster()
       const owner = ownerOf(DATED, ENTRIES)
@@ -297,14 +297,14 @@
       return { cluster, owner }
     }
 
-    it('grants nothing that its heir may grant, and leaves that to it', async (t) => {
+    it('grants no id that its successor may grant, and defers to the successor', async (t) => {
       const { cluster, owner } = await cutOffFromSuccessor()
       const own = cluster.node(owner).answer.claim(DATED, owner, newToken())
       t.like(own, { kind: 'unsure', standIn: true })
       t.is((await cluster.node('b1').begin(DATED, newToken())).kind, 'first')
     })
 
-    it('leaves no old memory to a later life for the newest', async (t) => {
+    it('leaves no outdated claims that a later life mistakes for the latest', async (t) => {
       const { cluster, owner } = await cutOffFromSuccessor()
       const granted =
         (await cluster.node(owner).begin(DATED, newToken())).kind === 'first'
@@ -315,7 +315,7 @@
       t.false(granted && again, 'the request ran twice')
     })
 
-    it('asks again, and goes on with the memory that it gets', async (t) => {
+    it('asks again, and continues with the claims that it gets', async (t) => {
       const { cluster, owner } = await cutOffFromSuccessor()
       t.is((await cluster.node('b1').begin(DATED, newToken())).kind, 'first')
       cluster.join(owner)
@@ -328,14 +328,14 @@
       const { cluster, owner } = await cutOffFromSuccessor()
       for (const { id } of ENTRIES) cluster.setGone(id, true)
       t.is((await cluster.node(owner).begin(DATED, newToken())).kind, 'first')
-      // Its memory is gone, so that it need not be asked when it comes back either.
+      // Its claims are gone too, so that it need not be asked when it returns.
       for (const { id } of ENTRIES) cluster.setGone(id, false)
       t.is((await cluster.node(owner).begin(LATER, newToken())).kind, 'first')
     })
   })
 
-  describe('a fresh id', () => {
-    it('is granted by whoever stands in for an owner that is being replaced', async (t) => {
+  describe('a new id', () => {
+    it('is granted by the stand-in for an owner that is being replaced', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
       const cluster = createCluster()
       await cluster.node(owner).leave()
@@ -345,12 +345,12 @@
       t.is((await cluster.node('b2').begin(PLAIN, newToken())).kind, 'repeat')
     })
 
-    it('may be asked again while the memory goes back to the owner', async (t) => {
+    it('may be claimed again while the claims return to the owner', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
       const cluster = createCluster()
       await cluster.node(owner).leave()
       t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'first')
-      // The next life has its memory back, but does not answer yet.
+      // The next life has recovered its claims, but does not answer yet.
       cluster.kill(owner)
       await cluster.node(owner).recover()
       cluster.cutOff(owner)
@@ -363,7 +363,7 @@
       })
     })
 
-    it('is unsure while the owner is cut off or has lost its memory, for as long as that lasted', async (t) => {
+    it('is unsure while the owner is cut off, and for the retention time after it has lost its claims', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
       const cluster = createCluster()
       cluster.cutOff(owner)
@@ -376,7 +376,7 @@
       t.is((await lost.node('b1').begin(PLAIN, newToken())).kind, 'first')
     })
 
-    it('that was made after its owner started is granted, but not one from the future', async (t) => {
+    it('dated after the start of its owner is granted, but not one dated in the future', async (t) => {
       const cluster = createCluster()
       for (const { id } of ENTRIES) cluster.kill(id)
       for (const { id } of ENTRIES) await cluster.node(id).recover()
--- a/src/entry/__tests__/outcomes.spec.ts
+++ b/src/entry/__tests__/outcomes.spec.ts
@@ -10,7 +10,7 @@
 
 const LARGE = Buffer.alloc(300 * 1024, 'x')
 
-/** What a target does with a request, by its path. */
+/** Behaviour of a target, by the path of the request. */
 const TARGET_HANDLERS: Record<
   string,
   (req: IncomingMessage, res: ServerResponse) => void
@@ -44,7 +44,7 @@
   '/two-cookies': (_req, res) =>
     void res.writeHead(200, { 'set-cookie': ['a=1', 'b=2'] }).end(),
   '/continue': (req, res) => void req.resume().once('end', () => res.end('done')),
-  // The first target to get it breaks off, the second one refuses.
+  // The first target to receive it closes the connection, the second one refuses.
   '/break-then-refuse': (() => {
     let times = 0
     return (req: IncomingMessage, res: ServerResponse): void => {
@@ -59,7 +59,7 @@
   const rig = await startRig({ requests: { retry_share: '1' } })
   const hits: string[] = []
   const servers: Server[] = []
-  // Two targets, so that a wrong retry would be seen.
+  // Two targets, so that an unwanted retry is detected.
   for (const vm of ['v1', 'v2']) {
     const incarnation = `${vm}.1`
     const health = { vm, incarnation, job: jobOf(vm, incarnation), state: 'ok', load: 0 }
@@ -89,9 +89,9 @@
 }
 
 describe('outcomes', () => {
-  describe('a target that breaks off', () => {
+  describe('a target that fails', () => {
     for (const path of ['/half-request', '/whole-request']) {
-      it(`in the request (${path}) gives unknown, and no second attempt`, async (t) => {
+      it(`during the request (${path}) gives unknown, without a retry`, async (t) => {
         const { rig, hits } = await setUp(t)
         for (const body of [LARGE, 'small']) {
           hits.length = 0
@@ -103,7 +103,7 @@
       })
     }
 
-    it('is not forgotten when a later attempt is refused: the outcome stays unknown', async (t) => {
+    it('in the first attempt leaves the outcome unknown when the retry is refused', async (t) => {
       const { rig, hits } = await setUp(t)
       const res = await request(`${rig.url}/s/break-then-refuse`)
       await res.body.dump()
@@ -111,7 +111,7 @@
       t.deepEqual(hits, ['/break-then-refuse', '/break-then-refuse'])
     })
 
-    it('is not sent elsewhere once bytes of a streamed body were taken', async (t) => {
+    it('does not lead to a retry once bytes of a streamed body were read', async (t) => {
       const { rig, hits } = await setUp(t)
       const { status, outcome, res } = await post(rig, '/refuse-midway', LARGE)
       await res.body.dump()
@@ -120,7 +120,7 @@
     })
 
     for (const path of ['/head-only', '/half-fixed', '/half-chunked']) {
-      it(`in the answer (${path}) gives a visibly broken answer, and no second attempt`, async (t) => {
+      it(`during the answer (${path}) breaks the caller's connection, without a retry`, async (t) => {
         const { rig, hits } = await setUp(t)
         for (const method of ['GET', 'POST'] as const) {
           hits.length = 0
@@ -134,8 +134,8 @@
     }
   })
 
-  describe('a caller that breaks off', () => {
-    it('in a small body has not reached any target', async (t) => {
+  describe('a caller that disconnects', () => {
+    it('during a small body has reached no target', async (t) => {
       const { rig, hits } = await setUp(t)
       const { port } = rig.kernel.get('front').address
       const socket = connect(port, '127.0.0.1')
@@ -148,7 +148,7 @@
       t.deepEqual(hits, [])
     })
 
-    it('while its answer streams ends the work at the target', async (t) => {
+    it('during a streamed answer ends the request at the target', async (t) => {
       const { rig } = await setUp(t)
       const { port } = rig.kernel.get('front').address
       const socket = connect(port, '127.0.0.1')
@@ -161,8 +161,8 @@
     })
   })
 
-  describe('special answers pass whole', () => {
-    it('early ones, empty ones, trailers, several headers of a name', async (t) => {
+  describe('unusual answers are passed whole', () => {
+    it('when early, empty, with trailers or with several headers of one name', async (t) => {
       const { rig } = await setUp(t)
       const early = await post(rig, '/early-answer', LARGE).catch(() => undefined)
       if (early) {
@@ -179,7 +179,7 @@
       await cookies.res.body.dump()
     })
 
-    it('to a very slow reader, without being held in memory', async (t) => {
+    it('to a very slow reader, without being buffered whole', async (t) => {
       const { rig } = await setUp(t)
       const res = await request(`${rig.url}/s/large`)
       let bytes = 0
@@ -191,7 +191,7 @@
     })
   })
 
-  it('answers "expect: continue" so that the body is sent', async (t) => {
+  it('answers "expect: 100-continue" so that the caller sends the body', async (t) => {
     const { rig } = await setUp(t)
     const { port } = rig.kernel.get('front').address
     const socket = connect(port, '127.0.0.1')
--- a/src/entry/__tests__/policy.spec.ts
+++ b/src/entry/__tests__/policy.spec.ts
@@ -40,14 +40,14 @@
     )
   })
 
-  it('two choices never take the strictly heaviest of at least two', (t) => {
+  it('never pick the more loaded of two targets by two choices', (t) => {
     const light = fakeTarget({ reportedLoad: 1 })
     const heavy = fakeTarget({ reportedLoad: 9 })
     const choose = POLICIES.twoChoicesReported()
     for (let i = 0; i < 50; i++) t.is(choose([light, heavy], Math.random), light)
   })
 
-  it('the estimate counts what was added since the report', (t) => {
+  it('estimate the load from the last report and the requests added since', (t) => {
     t.is(
       estimatedLoad(fakeTarget({ reportedLoad: 5, inFlightAtReport: 2, inFlight: 4 })),
       7,
@@ -62,7 +62,7 @@
 describe('eligibleTargets', () => {
   const excluded = () => fakeTarget({ excludedUntil: Infinity })
 
-  it('leaves out targets that leave, are full, excluded or tried', (t) => {
+  it('leaves out targets that are leaving, full, excluded or already tried', (t) => {
     const good = fakeTarget()
     const good2 = fakeTarget()
     const tried = fakeTarget()
@@ -80,7 +80,7 @@
     t.deepEqual(eligibleTargets(targets, new Set([tried])), [good, good2])
   })
 
-  it('ignores exclusion when most targets are excluded', (t) => {
+  it('ignores exclusions when most targets are excluded', (t) => {
     t.is(eligibleTargets([fakeTarget(), excluded(), excluded()], new Set()).length, 3)
     t.is(eligibleTargets([fakeTarget(), fakeTarget(), excluded()], new Set()).length, 2)
   })
@@ -94,7 +94,7 @@
   const createTestLimiter = (maxQueue: number, weights: Record<string, number> = {}) =>
     createLimiter({ capacity: () => 1, maxQueue, weightOf: (team) => weights[team] ?? 1 })
 
-  /** Admits one and lets all others wait; gives the order in which they then start. */
+  /** Admits one request, queues the others and returns the order in which they start. */
   async function orderOf(
     limiter: Limiter,
     waiting: [Priority, string][],
@@ -111,7 +111,7 @@
     return order
   }
 
-  /** Naive version: looks at all waiting requests for each turn. */
+  /** Naive implementation: scans all waiting requests for each turn. */
   function naiveOrder(
     waiting: [Priority, string][],
     weights: Record<string, number>,
@@ -138,7 +138,7 @@
     return order
   }
 
-  it('gives turns by band, then by team and weight, then by arrival, like the naive version', async (t) => {
+  it('orders requests by priority, then by team weight, then by arrival, like the naive implementation', async (t) => {
     // Powers of two, so that shares add up without rounding.
     const weights = { a: 1, b: 2, c: 4 }
     const waiting = fc.array(
@@ -154,7 +154,7 @@
     )
   })
 
-  it('lets a flooding team lengthen its own wait only', async (t) => {
+  it('lets a team that floods the queue lengthen only its own wait', async (t) => {
     const flood = Array.from({ length: 50 }, (): [Priority, string] => [
       'normal',
       'flood',
@@ -167,7 +167,7 @@
     t.true(order.indexOf(50) <= 4 && order.indexOf(51) <= 4)
   })
 
-  it('with a full queue refuses the longest team of the last band, not the newcomer', async (t) => {
+  it('refuses from the longest team of the lowest priority when the queue is full, not the new request', async (t) => {
     const limiter = createTestLimiter(3)
     await limiter.admit(ask('normal'))
     const flood = [1, 2, 3].map(() => limiter.admit(ask('normal', 'flood')))
@@ -182,7 +182,7 @@
     t.is(await Promise.race([flood[0], other]), 'admitted')
   })
 
-  it('does not start what would hardly be answered in time', async (t) => {
+  it('does not admit a request that is unlikely to be answered in time', async (t) => {
     const limiter = createTestLimiter(9)
     for (let i = 0; i < 200; i++) {
       await limiter.admit(ask('normal'))
@@ -201,7 +201,7 @@
     t.is(await shortDeadline, 'deadline passed')
   })
 
-  it('forgets callers that leave', async (t) => {
+  it('removes the requests of callers that disconnect', async (t) => {
     const limiter = createTestLimiter(9)
     await limiter.admit(ask('normal'))
     const leaving = createCancellation()
@@ -213,7 +213,7 @@
 })
 
 describe('partOfLimit', () => {
-  it('adds up to the limit over all entries, whatever their number', (t) => {
+  it('adds up to the limit over any number of entries', (t) => {
     const ids = fc.uniqueArray(fc.string({ minLength: 1 }), {
       minLength: 1,
       maxLength: 50,
@@ -232,7 +232,7 @@
 })
 
 describe('createRetryBudget', () => {
-  it('never allows more than the share of fresh requests and one', (t) => {
+  it('never allows more retries than one plus the share of new requests', (t) => {
     fc.assert(
       fc.property(fc.array(fc.boolean()), (steps) => {
         const budget = createRetryBudget(0.1)
