--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -131,13 +131,13 @@
   const capacityOf = (service: string): number =>
     Math.min(opts.usable(service), slotsOf(service))
 
-  const wakeAll = () => {
+  const admitAllWaiting = () => {
     for (const limiter of limiters.values()) limiter.admitWaiting()
   }
-  view.subscribe(wakeAll)
+  view.subscribe(admitAllWaiting)
   table.subscribe(() => {
     weights = teamWeights(table.current()?.table.services.values() ?? [])
-    wakeAll()
+    admitAllWaiting()
   })
 
   function refuseAs(exchange: Exchange, kind: RefusalKind, detail: string): Ending {
@@ -290,7 +290,7 @@
       const limiter = limiters.get(service)
       return { inFlight: limiter?.inFlight() ?? 0, queued: limiter?.queued() ?? 0 }
     },
-    wake: wakeAll,
+    wake: admitAllWaiting,
     open: () => open,
     drained: () =>
       open === 0
