--- a/src/entry/constants.ts
+++ b/src/entry/constants.ts
@@ -31,7 +31,7 @@
 export const KEEP_ALIVE_TIMEOUT_MS = 75_000
 /** Consecutive failures after which a target is excluded. */
 export const EXCLUDE_AFTER_FAILURES = 3
-/** Duration of the first exclusion, in ms; it doubles with each one up to the cap. */
+/** Duration of the first exclusion, in ms; it doubles with each further one up to the cap. */
 export const EXCLUDE_BASE_MS = 1000
 export const EXCLUDE_CAP_MS = 30_000
 /** Share of a service's targets that may be excluded at once. */
--- a/src/entry/fairQueue.ts
+++ b/src/entry/fairQueue.ts
@@ -4,7 +4,7 @@
  * arrival. A team that sends too many requests lengthens only its own wait.
  */
 
-/** Priorities of requests, the first served first. */
+/** Priorities of requests, in the order in which they are served. */
 export const PRIORITIES = ['urgent', 'normal', 'deferrable'] as const
 export type Priority = (typeof PRIORITIES)[number]
 
--- a/src/entry/front.ts
+++ b/src/entry/front.ts
@@ -1,7 +1,7 @@
 /**
  * HTTP server for callers. hono does the routing; request and answer bodies pass through
- * the Node streams that its adapter exposes, which cost far less CPU time than web streams
- * (see docs/measurements.md).
+ * the Node streams that its adapter exposes, which cost far less than web streams (see
+ * docs/measurements.md).
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { serve } from '@hono/node-server'
