--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -43,7 +43,7 @@
   return Array.isArray(value) ? value[0] : value
 }
 
-const cancelledError = () => new Error('the caller disconnected or the deadline passed')
+const cancelledError = () => new Error('the request was given up')
 
 /** Sends the request and streams the answer. Never rejects. */
 export function runAttempt(opts: AttemptOptions): Promise<AttemptResult> {
@@ -86,7 +86,7 @@
         if (statusCode < 200) return
         status = statusCode
         if (headerOf(headers, OUTCOME_HEADER) === TARGET_REFUSAL) {
-          refusal = `target refused the request with status ${statusCode}`
+          refusal = `target refused with ${statusCode}`
           return
         }
         isHeadSent = true
--- a/src/entry/body.ts
+++ b/src/entry/body.ts
@@ -61,8 +61,7 @@
     })
     req.on('end', () => stream.push(null))
     req.on('close', () => {
-      if (!req.complete)
-        stream.destroy(new Error('the caller disconnected before the end of its body'))
+      if (!req.complete) stream.destroy(new Error('the caller broke off its body'))
     })
     req.on('error', (cause) => stream.destroy(cause))
   }
--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -47,7 +47,7 @@
 ): Result<Call, string> {
   const url = req.url ?? '/'
   const match = /^\/([a-z0-9][a-z0-9-]{0,62})(?=$|[/?])(.*)$/s.exec(url)
-  if (!match) return err('the path must begin with a service name')
+  if (!match) return err('the path must begin with the name of a service')
   const id = readId(req)
   if (id.isErr()) return err(id.error)
   const repeatable = readRepeatable(req)
@@ -81,25 +81,21 @@
   const valid =
     typeof given === 'string' && given.length <= MAX_ID_LENGTH && ID_PATTERN.test(given)
   if (valid) return ok(given)
-  return err(
-    `${REQUEST_ID_HEADER} must be 1 to ${MAX_ID_LENGTH} visible ASCII characters`,
-  )
+  return err(`${REQUEST_ID_HEADER}: 1 to ${MAX_ID_LENGTH} visible ASCII characters`)
 }
 
 function readRepeatable(req: IncomingMessage): Result<boolean, string> {
   const given = req.headers[REPEATABLE_HEADER]
   if (given === undefined) return ok(REPEATABLE_METHODS.has(req.method ?? ''))
   if (given === 'yes' || given === 'no') return ok(given === 'yes')
-  return err(`${REPEATABLE_HEADER} must be yes or no`)
+  return err(`${REPEATABLE_HEADER}: yes or no`)
 }
 
 function readPriority(req: IncomingMessage): Result<Priority | undefined, string> {
   const given = req.headers[PRIORITY_HEADER]
   if (given === undefined) return ok(undefined)
   const found = PRIORITIES.find((each) => each === given)
-  return found
-    ? ok(found)
-    : err(`${PRIORITY_HEADER} must be one of ${PRIORITIES.join(', ')}`)
+  return found ? ok(found) : err(`${PRIORITY_HEADER}: one of ${PRIORITIES.join(', ')}`)
 }
 
 function readTeam(req: IncomingMessage): Result<string | undefined, string> {
@@ -108,7 +104,7 @@
   const valid = typeof given === 'string' && TEAM_PATTERN.test(given)
   return valid
     ? ok(given)
-    : err(`${TEAM_HEADER} must be at most 63 characters of a-z, 0-9 and dashes`)
+    : err(`${TEAM_HEADER}: a name of a-z, 0-9 and dashes, at most 63`)
 }
 
 function readDeadline(req: IncomingMessage, defaultMs: number): Result<number, string> {
@@ -116,7 +112,5 @@
   if (given === undefined) return ok(defaultMs)
   const ms = Number(given)
   const valid = /^\d{1,9}$/.test(String(given)) && ms >= 1 && ms <= MAX_DEADLINE_MS
-  return valid
-    ? ok(ms)
-    : err(`${DEADLINE_HEADER} must be whole ms from 1 to ${MAX_DEADLINE_MS}`)
+  return valid ? ok(ms) : err(`${DEADLINE_HEADER}: whole ms from 1 to ${MAX_DEADLINE_MS}`)
 }
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -161,18 +161,16 @@
     const isInFuture = createdAtSeconds(id) > opts.wallSeconds() + MAX_ID_AHEAD_S
     if (isInFuture) return unsure('the id is dated in the future; check the clocks')
     if (isLeaving) return ownerUnavailable('the owner of the id is stopping')
-    if (!isCertain)
-      return unsure('the owner of the id has restarted without all its claims')
+    if (!isCertain) return unsure('the owner of the id has started anew')
     if (!registry.add({ id, state: 'running', ageMs: 0, token }))
-      return unsure('the claims for unrepeatable requests have reached their limit')
+      return unsure('too many requests are remembered')
     return { kind: 'first' }
   }
 
   /** Decides as the owner of the id, or for an owner whose claims are here. */
   function decideClaim(id: string, owner: string, token: string): Verdict {
     if (owner === own.id) {
-      if (!hasAskedAll())
-        return ownerUnavailable('the owner of the id has not recovered its claims yet')
+      if (!hasAskedAll()) return ownerUnavailable('the owner of the id lacks its memory')
       return claim(id, token, ownClaims, isCertainlyNew(id))
     }
     const legacy = handovers.get(owner)
@@ -188,10 +186,10 @@
   ): Promise<Verdict> {
     if (peer === own.id) return decideClaim(id, owner, token)
     if (!opts.isReached(peer))
-      return ownerUnavailable(`${peer} does not answer the claim of the id`)
+      return ownerUnavailable(`${peer}, which owns the id, does not answer`)
     return peers
       .claim(peer, id, owner, token)
-      .catch(() => ownerUnavailable(`${peer} does not answer the claim of the id`))
+      .catch(() => ownerUnavailable(`${peer}, which owns the id, does not answer`))
   }
 
   /**
@@ -205,7 +203,7 @@
   ): Promise<[string, Verdict]> {
     const none: [string, Verdict] = [
       owner,
-      ownerUnavailable('no entry stands in for the owner of the id'),
+      ownerUnavailable('nobody stands in for the owner'),
     ]
     const known = standIns.get(owner)
     if (known && now() < known.until) {
--- a/src/entry/retryLoop.ts
+++ b/src/entry/retryLoop.ts
@@ -46,7 +46,7 @@
 
 const noTarget: Failure = {
   kind: 'not-run',
-  reason: 'no target accepts requests',
+  reason: 'no target takes work',
   refusedByTarget: false,
 }
 
@@ -123,7 +123,7 @@
       target.release(client, true)
       return {
         kind: 'not-run',
-        reason: 'target accepts no new requests',
+        reason: 'target is leaving',
         refusedByTarget: true,
       }
     }
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -195,10 +195,9 @@
     budget.deposit()
     const limiter = limiterOf(call.service)
     const priority = call.priority ?? line.priority
-    if (line.limit === 0)
-      return refuseAs(exchange, 'no target', 'the limit of the service is 0')
+    if (line.limit === 0) return refuseAs(exchange, 'no target', 'the limit is 0')
     if (slotsOf(call.service) === 0 && priority !== 'deferrable') {
-      return refuseAs(exchange, 'no target', 'no target accepts requests')
+      return refuseAs(exchange, 'no target', 'no target takes work')
     }
     const { deadline } = call
     const team = call.team ?? line.team
@@ -236,11 +235,7 @@
     const verdict = await claimOnce(exchange)
     if (verdict.kind === 'unsure') return refuseAs(exchange, 'unsure', verdict.reason)
     if (verdict.kind === 'repeat') {
-      return refuseAs(
-        exchange,
-        'repeat',
-        `state of the first request with this id: ${verdict.state}`,
-      )
+      return refuseAs(exchange, 'repeat', `the first one: ${verdict.state}`)
     }
     const ending = await sendToTarget(exchange)
     const state = ending === 'broken' || ending === 'caller-left' ? 'unknown' : ending
--- a/src/entry/targetConnection.ts
+++ b/src/entry/targetConnection.ts
@@ -98,14 +98,11 @@
     if (matchesIdentity(health, identity)) return ok(health)
     opts.onMismatch(health)
     drop(client)
-    return fail(
-      'identity',
-      `another target answers: ${health.vm}/${health.incarnation}/${health.job}`,
-    )
+    return fail('identity', `answers as ${health.vm}/${health.incarnation}/${health.job}`)
   }
 
   async function acquire(): Promise<Result<Client, RillshuntError>> {
-    if (closed) return fail('connect', 'target was removed')
+    if (closed) return fail('connect', 'target is removed')
     const idleClient = idle.pop()
     if (idleClient) return ok(idleClient)
     const client = connect()
@@ -184,7 +181,7 @@
   const connector = buildConnector({ timeout })
   let used = false
   return (options, callback) => {
-    if (used) return callback(new Error('the verified connection was lost'), null)
+    if (used) return callback(new Error('the proved connection is lost'), null)
     used = true
     return connector(options, callback)
   }
