--- a/src/entry/__tests__/policy.spec.ts
+++ b/src/entry/__tests__/policy.spec.ts
@@ -6,8 +6,8 @@
 import { createLimiter, partOfLimit } from '../limiter.js'
 import type { Limiter } from '../limiter.js'
 import { createRetryBudget } from '../retryBudget.js'
-import { PRIORITIES } from '../turns.js'
-import type { Priority } from '../turns.js'
+import { PRIORITIES } from '../fairQueue.js'
+import type { Priority } from '../fairQueue.js'
 import type { Target } from '../target.js'
 
 function fakeTarget(over: Partial<Target> = {}): Target {
@@ -19,7 +19,7 @@
     active: true,
     listedLeaving: false,
     draining: false,
-    mismatched: false,
+    isMismatched: false,
     excludedUntil: 0,
     ...over,
   } as Target
@@ -40,14 +40,14 @@
     )
   })
 
-  it('two choices never take the strictly heaviest of at least two', (t) => {
+  it('never pick the more loaded of two targets by two choices', (t) => {
     const light = fakeTarget({ reportedLoad: 1 })
     const heavy = fakeTarget({ reportedLoad: 9 })
     const choose = POLICIES.twoChoicesReported()
     for (let i = 0; i < 50; i++) t.is(choose([light, heavy], Math.random), light)
   })
 
-  it('the estimate counts what was added since the report', (t) => {
+  it('estimate the load from the last report and the requests added since', (t) => {
     t.is(
       estimatedLoad(fakeTarget({ reportedLoad: 5, inFlightAtReport: 2, inFlight: 4 })),
       7,
@@ -62,7 +62,7 @@
 describe('eligibleTargets', () => {
   const excluded = () => fakeTarget({ excludedUntil: Infinity })
 
-  it('leaves out targets that leave, are full, excluded or tried', (t) => {
+  it('leaves out targets that are leaving, full, excluded or already tried', (t) => {
     const good = fakeTarget()
     const good2 = fakeTarget()
     const tried = fakeTarget()
@@ -73,28 +73,28 @@
       fakeTarget({ active: false }),
       fakeTarget({ listedLeaving: true }),
       fakeTarget({ draining: true }),
-      fakeTarget({ mismatched: true }),
+      fakeTarget({ isMismatched: true }),
       fakeTarget({ inFlight: 8 }),
       excluded(),
     ]
     t.deepEqual(eligibleTargets(targets, new Set([tried])), [good, good2])
   })
 
-  it('ignores exclusion when most targets are excluded', (t) => {
+  it('ignores exclusions when most targets are excluded', (t) => {
     t.is(eligibleTargets([fakeTarget(), excluded(), excluded()], new Set()).length, 3)
     t.is(eligibleTargets([fakeTarget(), fakeTarget(), excluded()], new Set()).length, 2)
   })
 })
 
 describe('createLimiter', () => {
-  const far = () => performance.now() + 60_000
+  const farDeadline = () => performance.now() + 60_000
   const ask = (priority: Priority, team = 't') => {
-    return { priority, team, deadline: far(), cancellation: createCancellation() }
+    return { priority, team, deadline: farDeadline(), cancellation: createCancellation() }
   }
-  const limiterOf = (maxQueue: number, weights: Record<string, number> = {}) =>
+  const createTestLimiter = (maxQueue: number, weights: Record<string, number> = {}) =>
     createLimiter({ capacity: () => 1, maxQueue, weightOf: (team) => weights[team] ?? 1 })
 
-  /** Admits one and lets all others wait; gives the order in which they then start. */
+  /** Admits one request, queues the others and returns the order in which they start. */
   async function orderOf(
     limiter: Limiter,
     waiting: [Priority, string][],
@@ -104,14 +104,14 @@
     const all = waiting.map(async ([priority, team], index) => {
       if ((await limiter.admit(ask(priority, team))) !== 'admitted') return
       order.push(index)
-      limiter.leave(0)
+      limiter.release(0)
     })
-    limiter.leave(0)
+    limiter.release(0)
     await Promise.all(all)
     return order
   }
 
-  /** Naive version: looks at all waiting requests for each turn. */
+  /** Naive implementation: scans all waiting requests for each turn. */
   function naiveOrder(
     waiting: [Priority, string][],
     weights: Record<string, number>,
@@ -138,7 +138,7 @@
     return order
   }
 
-  it('gives turns by band, then by team and weight, then by arrival, like the naive version', async (t) => {
+  it('orders requests by priority, then by team weight, then by arrival, like the naive implementation', async (t) => {
     // Powers of two, so that shares add up without rounding.
     const weights = { a: 1, b: 2, c: 4 }
     const waiting = fc.array(
@@ -147,14 +147,14 @@
     )
     await fc.assert(
       fc.asyncProperty(waiting, async (list) => {
-        const limiter = limiterOf(100, weights)
+        const limiter = createTestLimiter(100, weights)
         t.deepEqual(await orderOf(limiter, list), naiveOrder(list, weights))
         t.is(limiter.inFlight() + limiter.queued(), 0)
       }),
     )
   })
 
-  it('lets a flooding team lengthen its own wait only', async (t) => {
+  it('lets a team that floods the queue lengthen only its own wait', async (t) => {
     const flood = Array.from({ length: 50 }, (): [Priority, string] => [
       'normal',
       'flood',
@@ -163,12 +163,12 @@
       ['normal', 'x'],
       ['normal', 'y'],
     ]
-    const order = await orderOf(limiterOf(100), [...flood, ...peers])
+    const order = await orderOf(createTestLimiter(100), [...flood, ...peers])
     t.true(order.indexOf(50) <= 4 && order.indexOf(51) <= 4)
   })
 
-  it('with a full queue refuses the longest team of the last band, not the newcomer', async (t) => {
-    const limiter = limiterOf(3)
+  it('refuses from the longest team of the lowest priority when the queue is full, not the new request', async (t) => {
+    const limiter = createTestLimiter(3)
     await limiter.admit(ask('normal'))
     const flood = [1, 2, 3].map(() => limiter.admit(ask('normal', 'flood')))
     const other = limiter.admit(ask('normal', 'other'))
@@ -176,33 +176,33 @@
     t.is(await limiter.admit(ask('deferrable', 'other')), 'queue full')
     const urgent = limiter.admit(ask('urgent', 'flood'))
     t.is(await flood[1], 'queue full')
-    limiter.leave(0)
+    limiter.release(0)
     t.is(await urgent, 'admitted')
-    limiter.leave(0)
+    limiter.release(0)
     t.is(await Promise.race([flood[0], other]), 'admitted')
   })
 
-  it('does not start what would hardly be answered in time', async (t) => {
-    const limiter = limiterOf(9)
+  it('does not admit a request that is unlikely to be answered in time', async (t) => {
+    const limiter = createTestLimiter(9)
     for (let i = 0; i < 200; i++) {
       await limiter.admit(ask('normal'))
-      limiter.leave(1000)
+      limiter.release(1000)
     }
     await limiter.admit(ask('normal'))
-    const patient = limiter.admit(ask('normal'))
-    limiter.leave(1000)
-    t.is(await patient, 'admitted')
-    const hurried = limiter.admit({
+    const longDeadline = limiter.admit(ask('normal'))
+    limiter.release(1000)
+    t.is(await longDeadline, 'admitted')
+    const shortDeadline = limiter.admit({
       ...ask('normal'),
       deadline: performance.now() + 1200,
     })
     await new Promise((resolve) => setTimeout(resolve, 700))
-    limiter.leave(1000)
-    t.is(await hurried, 'deadline passed')
+    limiter.release(1000)
+    t.is(await shortDeadline, 'deadline passed')
   })
 
-  it('forgets callers that leave', async (t) => {
-    const limiter = limiterOf(9)
+  it('removes the requests of callers that disconnect', async (t) => {
+    const limiter = createTestLimiter(9)
     await limiter.admit(ask('normal'))
     const leaving = createCancellation()
     const waiting = limiter.admit({ ...ask('normal'), cancellation: leaving })
@@ -213,7 +213,7 @@
 })
 
 describe('partOfLimit', () => {
-  it('adds up to the limit over all entries, whatever their number', (t) => {
+  it('adds up to the limit over any number of entries', (t) => {
     const ids = fc.uniqueArray(fc.string({ minLength: 1 }), {
       minLength: 1,
       maxLength: 50,
@@ -232,7 +232,7 @@
 })
 
 describe('createRetryBudget', () => {
-  it('never allows more than the share of fresh requests and one', (t) => {
+  it('never allows more retries than one plus the share of new requests', (t) => {
     fc.assert(
       fc.property(fc.array(fc.boolean()), (steps) => {
         const budget = createRetryBudget(0.1)
--- a/src/entry/allotments.ts
+++ b/src/entry/allotments.ts
@@ -1,50 +1,50 @@
 /**
- * A service's limit over all entries without a shared counter. Each entry owns a fixed
- * part; parts add up to the limit. An entry lends what it does not need to one that
- * does. Messages carry running totals, so that loss, delay, repetition and another order
- * only ever lower the sum of what may be used.
+ * Divides a service's limit among all entries without a shared counter. Each entry owns a
+ * fixed part, and the parts add up to the limit. An entry lends tokens that it does not
+ * need to entries that do. Messages carry cumulative totals, so that a lost, delayed,
+ * repeated or reordered message can only lower the sum of usable tokens.
  *
- * The lender stops using a token before it says so (`granted` grows first); the borrower
- * stops using it before it gives it back (`returned` grows first).
+ * The lender stops using a token before it announces the loan (`granted` grows first); the
+ * borrower stops using it before it announces the return (`returned` grows first).
  */
 import { partOfLimit } from './limiter.js'
 
-/** Part of an entry's own tokens that may be lent out. */
+/** Share of an entry's own tokens that may be lent out. */
 const LENDABLE_SHARE = 0.75
-/** Part of its tokens in use above which an entry asks for more. */
-const ASK_ABOVE = 0.8
-/** Steps without need after which borrowed tokens go back. */
-const IDLE_STEPS = 5
+/** Share of its usable tokens above which an entry asks for more. */
+const BORROW_ABOVE_USAGE = 0.8
+/** Steps without demand after which borrowed tokens are returned. */
+const RETURN_AFTER_IDLE_STEPS = 5
 
-/** Totals about one service between two lives of two entries. */
+/** Totals of one service between one life of the sender and one life of the receiver. */
 export interface LoanLine {
   service: string
-  /** Tokens that the sender has ever lent to the receiver. */
+  /** Tokens lent by the sender to the receiver since both lives began. */
   granted: number
-  /** Tokens that the sender has ever given back to the receiver. */
+  /** Tokens returned by the sender to the receiver since both lives began. */
   returned: number
-  /** The receiver's tokens, lent in an earlier life of it, that the sender still uses. */
+  /** Tokens lent by an earlier life of the receiver that the sender still uses. */
   legacy: number
-  /** Tokens that the sender could use more. */
+  /** Additional tokens that the sender could use. */
   wants: number
-  /** Tokens that the sender wants back, since its part shrank below what it lent. */
+  /** Tokens that the sender wants back because its part shrank below what it has lent. */
   recall: number
 }
 
-/** What one entry says to another about loans. */
+/** Message about loans from one entry to another. */
 export interface LoanMessage {
-  /** Life of the sender: a number that grows with each start of it. */
+  /** Life of the sender: a number that grows with each start. */
   life: number
-  /** Life of the receiver that the totals are about; 0 when unknown. */
+  /** Life of the receiver that the totals refer to; 0 when unknown. */
   peerLife: number
   lines: LoanLine[]
 }
 
-/** Allotments of one entry. */
+/** Tokens of one entry, own and borrowed, by service. */
 export interface Allotments {
-  /** Requests that this entry may have in flight for the service now. */
+  /** Requests of the service that this entry may have in flight now. */
   usable(service: string): number
-  /** Lends, asks and gives back; call it before messages are made. */
+  /** Lends and returns tokens; call it before `messageFor`. */
   step(): void
   messageFor(peer: string): LoanMessage
   receive(peer: string, message: LoanMessage): void
@@ -53,7 +53,7 @@
 /** Options of {@link createAllotments}. */
 export interface AllotmentsOptions {
   own: string
-  /** Time of the start; told apart from earlier lives, and raised if one was later. */
+  /** Time of the start, which identifies this life; raised if an earlier life's is later. */
   life: number
   /** Ids of all entries of all halls. */
   entries: readonly string[]
@@ -62,7 +62,7 @@
   limitOf(service: string): number
   inFlight(service: string): number
   queued(service: string): number
-  /** Whether the entry is certainly gone, so that it holds none of our tokens. */
+  /** Whether the entry is certainly gone, so that it holds no tokens of this entry. */
   isGone(entry: string): boolean
 }
 
@@ -71,9 +71,9 @@
   grantedSeen: number
   returned: number
   returnedSeen: number
-  /** Our tokens of an earlier life that the peer still uses. */
+  /** Tokens lent by an earlier life of this entry that the peer still uses. */
   theirLegacy: number
-  /** Their tokens of an earlier life that we had when it ended. */
+  /** Tokens lent by earlier lives of the peer and still held here when those ended. */
   legacy: number
   theirWants: number
   theirRecall: number
@@ -81,10 +81,10 @@
 
 interface PeerState {
   id: string
-  /** Its latest known life; what earlier ones still say is of no account. */
+  /** Its latest known life; messages of earlier lives are ignored. */
   life: number
-  /** It has spoken about our present life, so its `legacy` is known. */
-  heard: boolean
+  /** Whether its totals about this entry's present life, and so its `legacy`, are known. */
+  isSynced: boolean
   accounts: Map<string, Account>
 }
 
@@ -99,7 +99,7 @@
   theirRecall: 0,
 })
 
-/** Creates the allotments of a fresh life. */
+/** Creates the allotments of a new life. */
 export function createAllotments(opts: AllotmentsOptions): Allotments {
   const { own, entries, limitOf } = opts
   const peers = new Map<string, PeerState>()
@@ -108,7 +108,7 @@
   let superseded = false
   for (const id of entries) {
     if (id === own) continue
-    peers.set(id, { id, life: 0, heard: false, accounts: new Map() })
+    peers.set(id, { id, life: 0, isSynced: false, accounts: new Map() })
   }
 
   function accountOf(peer: PeerState, service: string): Account {
@@ -120,63 +120,69 @@
     return account
   }
 
-  const part = (service: string) => partOfLimit(limitOf(service), entries, own)
-  const lendable = (service: string) => Math.floor(part(service) * LENDABLE_SHARE)
+  const ownPart = (service: string) => partOfLimit(limitOf(service), entries, own)
+  const lendable = (service: string) => Math.floor(ownPart(service) * LENDABLE_SHARE)
 
-  function sum(service: string, pick: (account: Account) => number): number {
+  function sum(service: string, amountOf: (account: Account) => number): number {
     let total = 0
     for (const peer of peers.values()) {
       const account = peer.accounts.get(service)
-      if (account) total += pick(account)
+      if (account) total += amountOf(account)
     }
     return total
   }
 
   const lent = (service: string) => sum(service, (a) => a.granted - a.returnedSeen)
   const borrowed = (service: string) => sum(service, (a) => a.grantedSeen - a.returned)
-  /** Borrowed tokens that are wanted back; nothing new is admitted on them. */
+  /** Borrowed tokens that their lenders have recalled; no new request may use them. */
   const frozen = (service: string) =>
     sum(service, (a) => Math.min(a.theirRecall, a.grantedSeen - a.returned))
 
-  /** Our tokens that may be in use from an earlier life of ours. */
+  /** Tokens lent by an earlier life of this entry that peers may still use. */
   function outstanding(service: string): number {
     const known = sum(service, (a) => a.theirLegacy)
-    const allHeard = [...peers.values()].every(
-      (peer) => peer.heard || opts.isGone(peer.id),
+    const allSynced = [...peers.values()].every(
+      (peer) => peer.isSynced || opts.isGone(peer.id),
     )
-    return allHeard ? known : Math.max(known, lendable(service))
+    return allSynced ? known : Math.max(known, lendable(service))
   }
 
   function usable(service: string): number {
     if (superseded) return 0
-    const mine = Math.max(0, part(service) - lent(service) - outstanding(service))
+    const mine = Math.max(0, ownPart(service) - lent(service) - outstanding(service))
     return mine + borrowed(service) - frozen(service)
   }
 
-  /** Tokens that could be used more than now. */
+  /** Additional tokens that this entry could use now. */
   function wants(service: string): number {
     const queued = opts.queued(service)
     const inFlight = opts.inFlight(service)
-    const tight = inFlight + queued > usable(service) * ASK_ABOVE
-    return tight ? queued + Math.max(1, Math.ceil(inFlight * (1 - ASK_ABOVE))) : 0
+    const isNearlyFull = inFlight + queued > usable(service) * BORROW_ABOVE_USAGE
+    return isNearlyFull
+      ? queued + Math.max(1, Math.ceil(inFlight * (1 - BORROW_ABOVE_USAGE)))
+      : 0
   }
 
   const spare = (service: string) =>
     usable(service) - opts.inFlight(service) - opts.queued(service)
 
   function lend(service: string): void {
-    const asking = [...peers.values()].filter(
-      (peer) => peer.heard && (peer.accounts.get(service)?.theirWants ?? 0) > 0,
+    const borrowers = [...peers.values()].filter(
+      (peer) => peer.isSynced && (peer.accounts.get(service)?.theirWants ?? 0) > 0,
     )
-    if (asking.length === 0 || wants(service) > 0) return
+    if (borrowers.length === 0 || wants(service) > 0) return
     const room = Math.min(
       Math.floor(spare(service) / 2),
       lendable(service) - lent(service) - outstanding(service),
     )
     let left = room
-    for (const peer of asking) {
+    for (const peer of borrowers) {
       const account = accountOf(peer, service)
-      const amount = Math.min(left, account.theirWants, Math.ceil(room / asking.length))
+      const amount = Math.min(
+        left,
+        account.theirWants,
+        Math.ceil(room / borrowers.length),
+      )
       if (amount <= 0) return
       account.granted += amount
       account.theirWants -= amount
@@ -189,7 +195,7 @@
     const steps = isIdle ? (idleSteps.get(service) ?? 0) + 1 : 0
     idleSteps.set(service, steps)
     const unused = usable(service) + frozen(service) - opts.inFlight(service)
-    let left = steps < IDLE_STEPS ? 0 : Math.ceil(spare(service) / 2)
+    let left = steps < RETURN_AFTER_IDLE_STEPS ? 0 : Math.ceil(spare(service) / 2)
     let free = Math.max(0, unused)
     for (const peer of peers.values()) {
       const account = peer.accounts.get(service)
@@ -203,31 +209,34 @@
     }
   }
 
-  /** Tokens of earlier lives of lenders that our requests still hold. */
+  /** Tokens lent by earlier lives of the peer that requests in flight here still hold. */
   function legacyOf(service: string, account: Account): number {
     const over = Math.max(0, opts.inFlight(service) - usable(service))
     account.legacy = Math.min(account.legacy, over)
     return account.legacy
   }
 
-  /** Tokens lent beyond what a smaller limit leaves us. */
-  const shortfall = (service: string) => Math.max(0, lent(service) - part(service))
+  /** Tokens lent beyond the own part after the limit was lowered. */
+  const shortfall = (service: string) => Math.max(0, lent(service) - ownPart(service))
 
-  function meet(peer: PeerState, nextLife: number): void {
+  function startPeerLife(peer: PeerState, nextLife: number): void {
     peer.life = nextLife
-    peer.heard = false
+    peer.isSynced = false
     for (const [service, account] of peer.accounts) {
       const legacy = account.legacy + account.grantedSeen - account.returned
-      // What its earlier life had borrowed from us ended with it.
+      // Loans to the peer's earlier life ended with that life.
       peer.accounts.set(service, { ...newAccount(), legacy })
     }
   }
 
-  /** A life of this entry is known that seems to be later than this one. */
-  function noteLaterLife(other: number): void {
-    const isFresh = [...peers.values()].every((peer) => !peer.heard)
-    // A fresh process whose clock is behind its predecessor's; or one that was replaced.
-    if (isFresh) life = other + 1
+  /**
+   * Handles a peer's message about a life of this entry that seems later than this one.
+   */
+  function noteLaterLife(laterLife: number): void {
+    const isFresh = [...peers.values()].every((peer) => !peer.isSynced)
+    // Either the clock of this new process is behind its predecessor's, or it was
+    // replaced.
+    if (isFresh) life = laterLife + 1
     else superseded = true
   }
 
@@ -235,7 +244,7 @@
     usable,
     step() {
       for (const peer of peers.values()) {
-        if (peer.heard && opts.isGone(peer.id)) meet(peer, peer.life + 1)
+        if (peer.isSynced && opts.isGone(peer.id)) startPeerLife(peer, peer.life + 1)
       }
       for (const service of opts.services()) {
         lend(service)
@@ -262,9 +271,9 @@
     receive(id, message) {
       const peer = peers.get(id)
       if (!peer || message.life < peer.life) return
-      if (message.life > peer.life) meet(peer, message.life)
+      if (message.life > peer.life) startPeerLife(peer, message.life)
       if (message.peerLife > life) noteLaterLife(message.peerLife)
-      // Totals about another life of ours say nothing about this one.
+      // Totals about another life of this entry do not apply to this one.
       if (message.peerLife !== life) return
       const byService = new Map(message.lines.map((line) => [line.service, line]))
       for (const service of new Set([...byService.keys(), ...peer.accounts.keys()])) {
@@ -276,7 +285,7 @@
         account.theirWants = line?.wants ?? 0
         account.theirRecall = line?.recall ?? 0
       }
-      peer.heard = true
+      peer.isSynced = true
     },
   }
 }
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt: a request on one proved connection, its answer streamed to the caller
- * with backpressure. The result says exactly what is known of the request's run.
+ * Sends a request once over a verified connection and streams the answer to the caller
+ * with backpressure. The result states whether the request ran, if known.
  */
 import type { ServerResponse } from 'node:http'
 import type { Client, Dispatcher } from 'undici'
@@ -11,17 +11,17 @@
 import { OUTCOME_HEADER, REQUEST_ID_HEADER } from './constants.js'
 import { headersForCaller } from './headers.js'
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptResult =
-  /** The caller has the whole answer. */
+  /** The whole answer was passed to the caller. */
   | { kind: 'answered'; status: number }
-  /** Nothing of it ran: no byte was sent, or the target refused it. */
+  /** The request did not run: no byte was sent, or the target refused it. */
   | { kind: 'not-run'; reason: string; refusedByTarget: boolean }
-  /** Bytes were sent, and no answer came; nothing was passed to the caller. */
+  /** Bytes were sent, but no answer arrived; nothing was passed to the caller. */
   | { kind: 'unknown'; reason: string }
-  /** The answer broke off after its head; the caller's connection is broken too. */
+  /** The answer broke off after its head; the caller's connection must be closed too. */
   | { kind: 'broken'; reason: string }
-  /** The caller went away. */
+  /** The caller disconnected. */
   | { kind: 'caller-left' }
 
 /** Options of {@link runAttempt}. */
@@ -31,30 +31,30 @@
   headers: string[]
   body: RequestBody
   res: ServerResponse
-  /** Fires when the caller leaves or the deadline passes. */
+  /** Cancelled when the caller disconnects or the deadline passes. */
   cancellation: Cancellation
 }
 
 const TARGET_REFUSAL = 'not-run'
 
-/** Value of a response header in lower case; of several, the first. */
+/** Value of the response header with this lower-case name; the first of several. */
 function headerOf(headers: Record<string, string | string[] | undefined>, name: string) {
   const value = headers[name]
   return Array.isArray(value) ? value[0] : value
 }
 
-const givenUp = () => new Error('the request was given up')
+const cancelledError = () => new Error('the request was given up')
 
 /** Sends the request and streams the answer. Never rejects. */
 export function runAttempt(opts: AttemptOptions): Promise<AttemptResult> {
   const { client, call, res, cancellation } = opts
   return new Promise((resolve) => {
-    let sent = false
-    let headPassed = false
+    let isSent = false
+    let isHeadSent = false
     let refusal: string | undefined
     let status = 0
-    /** Bytes still to come; NaN where the target names no length. */
-    let left = NaN
+    /** Bytes of the answer still to come; NaN if the target sent no content length. */
+    let bytesLeft = NaN
     let control: Dispatcher.DispatchController | undefined
 
     const finish = (result: AttemptResult) => {
@@ -64,14 +64,14 @@
     }
     const onDrain = () => control?.resume()
 
-    const failed = (reason: string): AttemptResult => {
+    const failureResult = (reason: string): AttemptResult => {
       if (res.destroyed && !res.writableFinished) return { kind: 'caller-left' }
-      if (headPassed && left === 0) return { kind: 'answered', status }
-      if (headPassed) return { kind: 'broken', reason }
+      if (isHeadSent && bytesLeft === 0) return { kind: 'answered', status }
+      if (isHeadSent) return { kind: 'broken', reason }
       if (refusal !== undefined) {
         return { kind: 'not-run', reason: refusal, refusedByTarget: true }
       }
-      if (sent) return { kind: 'unknown', reason }
+      if (isSent) return { kind: 'unknown', reason }
       return { kind: 'not-run', reason, refusedByTarget: false }
     }
 
@@ -79,8 +79,8 @@
       onRequestStart(controller) {
         // undici calls this right before the first byte is written.
         control = controller
-        if (cancellation.cancelled) return controller.abort(givenUp())
-        sent = true
+        if (cancellation.cancelled) return controller.abort(cancelledError())
+        isSent = true
       },
       onResponseStart(controller, statusCode, headers, statusMessage) {
         if (statusCode < 200) return
@@ -89,36 +89,36 @@
           refusal = `target refused with ${statusCode}`
           return
         }
-        headPassed = true
-        left = Number(headerOf(headers, 'content-length') ?? NaN)
+        isHeadSent = true
+        bytesLeft = Number(headerOf(headers, 'content-length') ?? NaN)
         const raw = rawHeaders(controller, headers)
-        const passed = headersForCaller(raw)
-        passed.push(OUTCOME_HEADER, 'answered')
+        const responseHeaders = headersForCaller(raw)
+        responseHeaders.push(OUTCOME_HEADER, 'answered')
         if (headerOf(headers, REQUEST_ID_HEADER) === undefined) {
-          passed.push(REQUEST_ID_HEADER, call.id)
+          responseHeaders.push(REQUEST_ID_HEADER, call.id)
         }
-        res.writeHead(statusCode, statusMessage, passed)
+        res.writeHead(statusCode, statusMessage, responseHeaders)
       },
       onResponseData(controller, chunk) {
         if (refusal !== undefined) return
-        left -= chunk.length
-        // The last bytes of a known length: the answer is whole, and one call is saved.
-        if (left === 0) return void res.end(chunk)
+        bytesLeft -= chunk.length
+        // The answer is complete; ending it with its last chunk saves a call.
+        if (bytesLeft === 0) return void res.end(chunk)
         if (!res.write(chunk)) controller.pause()
       },
       onResponseEnd(_controller, trailers) {
-        if (refusal !== undefined) return finish(failed(refusal))
+        if (refusal !== undefined) return finish(failureResult(refusal))
         const names = Object.keys(trailers ?? {})
         if (names.length > 0) res.addTrailers(trailers as Record<string, string>)
         if (!res.writableEnded) res.end()
         finish({ kind: 'answered', status })
       },
       onResponseError(_controller, cause) {
-        finish(failed(describeError(cause)))
+        finish(failureResult(describeError(cause)))
       },
     }
 
-    const unsubscribe = cancellation.subscribe(() => control?.abort(givenUp()))
+    const unsubscribe = cancellation.subscribe(() => control?.abort(cancelledError()))
     res.on('drain', onDrain)
     client.dispatch(requestOptions(opts), handler)
   })
--- a/src/entry/body.ts
+++ b/src/entry/body.ts
@@ -1,6 +1,6 @@
 /**
- * The body of a caller's request. Small ones are read before routing and can be sent
- * again; large ones stream through once, with backpressure, and are never held.
+ * The body of a caller's request. A small body is read before routing and can be sent
+ * again; a large one is streamed once, with backpressure, and is never buffered whole.
  */
 import type { IncomingMessage } from 'node:http'
 import { Readable } from 'node:stream'
@@ -9,13 +9,21 @@
 export type RequestBody =
   | { kind: 'none' }
   | { kind: 'buffered'; bytes: Buffer }
-  /** `open` gives the stream to an attempt; once it is `started`, no other may use it. */
-  | { kind: 'streamed'; length: number | undefined; open(): Readable; started(): boolean }
+  /** `open` returns the stream for an attempt; once `isStarted`, no other may use it. */
+  | {
+      kind: 'streamed'
+      length: number | undefined
+      open(): Readable
+      isStarted(): boolean
+    }
 
-/** The caller broke off while its body was being read. */
+/** The caller disconnected while its body was being read. */
 export const CALLER_LEFT = Symbol('caller left')
 
-/** Reads a small body whole, or prepares a large one for streaming. */
+/**
+ * Reads a body of known length up to `bufferLimit` bytes whole; prepares any other for
+ * streaming.
+ */
 export async function readBody(
   req: IncomingMessage,
   bufferLimit: number,
@@ -23,11 +31,11 @@
   const chunked = req.headers['transfer-encoding'] !== undefined
   const length = Number(req.headers['content-length'] ?? 0)
   if (!chunked && length === 0) return { kind: 'none' }
-  if (!chunked && length <= bufferLimit) return readWhole(req)
-  return streamed(req, chunked ? undefined : length)
+  if (!chunked && length <= bufferLimit) return readBuffered(req)
+  return streamBody(req, chunked ? undefined : length)
 }
 
-function readWhole(req: IncomingMessage): Promise<RequestBody | typeof CALLER_LEFT> {
+function readBuffered(req: IncomingMessage): Promise<RequestBody | typeof CALLER_LEFT> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     req.on('data', (chunk: Buffer) => chunks.push(chunk))
@@ -41,13 +49,13 @@
 }
 
 /**
- * The request's bytes, read from the caller only when an attempt reads them: an attempt
- * that never connected has not touched the caller's stream.
+ * Reads from the caller only when an attempt reads, so that an attempt that never
+ * connected has consumed none of the body.
  */
-function streamed(req: IncomingMessage, length: number | undefined): RequestBody {
-  let started = false
+function streamBody(req: IncomingMessage, length: number | undefined): RequestBody {
+  let isStarted = false
   const start = (stream: Readable) => {
-    started = true
+    isStarted = true
     req.on('data', (chunk: Buffer) => {
       if (!stream.push(chunk)) req.pause()
     })
@@ -60,9 +68,9 @@
   const open = () =>
     new Readable({
       read() {
-        if (!started) start(this)
+        if (!isStarted) start(this)
         req.resume()
       },
     })
-  return { kind: 'streamed', length, open, started: () => started }
+  return { kind: 'streamed', length, open, isStarted: () => isStarted }
 }
--- a/src/entry/call.ts
+++ b/src/entry/call.ts
@@ -1,4 +1,4 @@
-/** A caller's request as read from its head. */
+/** Parses the head of a caller's request. */
 import type { IncomingMessage } from 'node:http'
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -12,25 +12,25 @@
   REQUEST_ID_HEADER,
   TEAM_HEADER,
 } from './constants.js'
-import { PRIORITIES } from './turns.js'
-import type { Priority } from './turns.js'
+import { PRIORITIES } from './fairQueue.js'
+import type { Priority } from './fairQueue.js'
 
-/** What the entry knows of a request before it reads the body. */
+/** A request as described by its head. */
 export interface Call {
   id: string
   service: string
   method: string
-  /** Path and query for the target: the caller's without the service. */
+  /** Path and query sent to the target: the caller's without the service name. */
   path: string
-  /** The caller gave the id, so it can send the request again under it. */
+  /** Whether the caller chose the id, so that it can send the request again with it. */
   idGiven: boolean
-  /** Whether it may run twice. */
+  /** Whether the request may run twice. */
   repeatable: boolean
-  /** Undefined where the caller names none; the service's line decides then. */
+  /** Undefined if the caller gives none; the service's priority applies then. */
   priority: Priority | undefined
-  /** Undefined where the caller names none; the service's team counts then. */
+  /** Undefined if the caller gives none; the service's team applies then. */
   team: string | undefined
-  /** Monotonic time in ms at which the caller gives up. */
+  /** Monotonic time in ms at which the caller stops waiting. */
   deadline: number
   arrivedAt: number
 }
@@ -40,7 +40,7 @@
 const MAX_ID_LENGTH = 128
 const ID_PATTERN = /^[\x21-\x7e]+$/
 
-/** Reads the head; the error is a sentence for the caller. */
+/** Parses the head; the error is a text for the caller. */
 export function readCall(
   req: IncomingMessage,
   defaultDeadlineMs: number,
--- a/src/entry/turns.ts
+++ b/src/entry/fairQueue.ts
@@ -1,15 +1,15 @@
 /**
- * Waiting requests of one service, in the order in which they get their turn: bands of
- * priority first; inside a band teams by weight; inside a team by arrival. A team that
- * floods lengthens its own wait only.
+ * Queue of the waiting requests of one service. Requests are ordered by priority; within a
+ * priority, teams share the turns by weight; within a team, requests are in order of
+ * arrival. A team that sends too many requests lengthens only its own wait.
  */
 
-/** Which requests go first. */
+/** Priorities of requests, in the order in which they are served. */
 export const PRIORITIES = ['urgent', 'normal', 'deferrable'] as const
 export type Priority = (typeof PRIORITIES)[number]
 
 /** A waiting request. */
-export interface Waiting {
+export interface QueuedRequest {
   priority: Priority
   team: string
 }
@@ -17,33 +17,34 @@
 interface TeamQueue<T> {
   team: string
   items: Set<T>
-  /** Turns had, divided by the weight; the team with the least goes next. */
+  /** Requests served, divided by the weight; the team with the lowest value is next. */
   pass: number
 }
 
-/** Waiting requests in order. */
-export interface Turns<T extends Waiting> {
+/** Waiting requests in the order of their service. */
+export interface FairQueue<T extends QueuedRequest> {
   size(): number
   add(item: T): void
   remove(item: T): void
-  /** Takes out the request whose turn it is. */
+  /** Removes and returns the next request. */
   next(): T | undefined
   /**
-   * The request that should make room for a new one: the last of the team that waits
-   * most for its weight, in the last band that is not before the new one's.
-   * Undefined when the new one itself is it.
+   * The queued request to refuse in favour of a new one: the latest of the team with the
+   * longest queue for its weight, in the lowest priority that is not above the new one's.
+   * Undefined when the new request itself is to be refused.
    */
-  victimFor(item: Waiting): T | undefined
+  evictionCandidate(item: QueuedRequest): T | undefined
 }
 
-/** Creates empty queues; `weightOf` is asked at each turn. */
-export function createTurns<T extends Waiting>(
+/** Creates an empty queue; `weightOf` is called at each turn. */
+export function createFairQueue<T extends QueuedRequest>(
   weightOf: (team: string) => number,
-): Turns<T> {
+): FairQueue<T> {
   const bands = new Map(PRIORITIES.map((p) => [p, new Map<string, TeamQueue<T>>()]))
   let size = 0
 
-  const shareOf = (team: string): number => Math.max(weightOf(team), Number.MIN_VALUE)
+  const effectiveWeight = (team: string): number =>
+    Math.max(weightOf(team), Number.MIN_VALUE)
 
   function leastServed(band: Map<string, TeamQueue<T>>): TeamQueue<T> | undefined {
     let best: TeamQueue<T> | undefined
@@ -53,11 +54,14 @@
     return best
   }
 
-  function longest(band: Map<string, TeamQueue<T>>, extra: Waiting | undefined) {
+  function longestQueue(
+    band: Map<string, TeamQueue<T>>,
+    extra: QueuedRequest | undefined,
+  ) {
     let best: { queue: TeamQueue<T>; length: number } | undefined
     for (const queue of band.values()) {
       const added = extra?.team === queue.team ? 1 : 0
-      const length = (queue.items.size + added) / shareOf(queue.team)
+      const length = (queue.items.size + added) / effectiveWeight(queue.team)
       if (!best || length > best.length) best = { queue, length }
     }
     return best
@@ -71,7 +75,7 @@
       const band = bandOf(item.priority)
       let queue = band.get(item.team)
       if (!queue) {
-        // A team that was away gets no turns for the time when it wanted none.
+        // A team that had no waiting requests earns no turns for that time.
         const pass = leastServed(band)?.pass ?? 0
         queue = { team: item.team, items: new Set(), pass }
         band.set(item.team, queue)
@@ -92,18 +96,18 @@
         const queue = leastServed(band)
         if (!queue) continue
         const [item] = queue.items
-        queue.pass += 1 / shareOf(queue.team)
+        queue.pass += 1 / effectiveWeight(queue.team)
         this.remove(item!)
         return item
       }
       return undefined
     },
-    victimFor(item) {
+    evictionCandidate(item) {
       const own = PRIORITIES.indexOf(item.priority)
       for (let at = PRIORITIES.length - 1; at >= own; at--) {
         const isOwnBand = at === own
         const band = bandOf(PRIORITIES[at]!)
-        const found = longest(band, isOwnBand ? item : undefined)
+        const found = longestQueue(band, isOwnBand ? item : undefined)
         if (!found) continue
         if (isOwnBand && !isLonger(found.length, item)) return undefined
         if (isOwnBand && found.queue.team === item.team) return undefined
@@ -113,8 +117,10 @@
     },
   }
 
-  /** Whether the longest queue is longer than the new request's team would be alone. */
-  function isLonger(length: number, item: Waiting): boolean {
-    return length > 1 / shareOf(item.team)
+  /**
+   * Whether the weighted length exceeds that of one request of the new request's team.
+   */
+  function isLonger(length: number, item: QueuedRequest): boolean {
+    return length > 1 / effectiveWeight(item.team)
   }
 }
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,8 +1,8 @@
-/** Answers callers: routing, limits, retries, drain. */
+/** Serves requests of callers: routing, limits, retries, draining. */
 export * from './allotments.js'
 export * from './answers.js'
 export * from './chooser.js'
-export type { ClaimRecord } from './claimBook.js'
+export type { ClaimRecord } from './claimRegistry.js'
 export * from './constants.js'
 export * from './front.js'
 export * from './once.js'
--- a/src/entry/limiter.ts
+++ b/src/entry/limiter.ts
@@ -1,77 +1,83 @@
 /**
- * Admission per service: at most as many requests in flight as this entry may have now.
- * The rest wait for their turn, up to their deadline; when too many wait, the one that
- * has the least claim to a place is refused at once.
+ * Admission control per service: limits the requests in flight to this entry's capacity.
+ * Further requests are queued up to their deadline. When the queue is full, the fair queue
+ * decides whether the new request or a queued one is refused at once.
  */
 import { monotonicMs } from '../shared/index.js'
 import type { Cancellation } from './cancellation.js'
-import { createTurns } from './turns.js'
-import type { Priority, Waiting } from './turns.js'
+import { createFairQueue } from './fairQueue.js'
+import type { Priority, QueuedRequest } from './fairQueue.js'
 
-/** Weight of the latest request in the running mean. */
-const SMOOTHING = 0.05
-/** Multiple of the mean that must be left before the deadline. */
-const NEEDED_TIMES = 2
-/** But never more than this part of the caller's patience. */
+/** Weight of the latest request in the moving average of times in flight. */
+const MEAN_SMOOTHING = 0.05
+/** Multiple of that average that must remain before the deadline. */
+const NEEDED_MEAN_MULTIPLE = 2
+/**
+ * Upper bound of that remaining time, as a share of the time from queueing to the
+ * deadline.
+ */
 const MAX_NEEDED_SHARE = 0.5
 
-/** How a wait for admission ended. */
+/** Result of a request for admission. */
 export type Admission = 'admitted' | 'queue full' | 'deadline passed' | 'caller left'
 
-/** Options of one wait. */
+/** A request for admission. */
 export interface AdmitOptions {
   priority: Priority
   team: string
-  /** Monotonic time in ms at which waiting is pointless. */
+  /** Monotonic time in ms after which the request is no longer admitted. */
   deadline: number
   cancellation: Cancellation
 }
 
 /** Admission for one service. */
 export interface Limiter {
-  /** Resolves when the request may start or never will. After `admitted`, call `leave`. */
+  /**
+   * Resolves when the request may start or never will. After `admitted`, call
+   * `release`.
+   */
   admit(opts: AdmitOptions): Promise<Admission>
-  /** Ends one admitted request, which held its place for so long. */
-  leave(heldMs: number): void
-  /** Admits as many waiting requests as now fit; call it when capacity changed. */
-  wake(): void
+  /** Ends an admitted request that was in flight for `heldMs`. */
+  release(heldMs: number): void
+  /** Admits queued requests up to the capacity; call it when the capacity changes. */
+  admitWaiting(): void
   inFlight(): number
   queued(): number
 }
 
 /** Options of {@link createLimiter}. */
 export interface LimiterOptions {
-  /** Requests that may be in flight now; asked anew each time. */
+  /** Most requests in flight now; called at each admission. */
   capacity(): number
-  /** Requests that may wait. */
+  /** Most requests in the queue. */
   maxQueue: number
-  /** Share of the turns of a team against others of its band. */
+  /** Weight of a team relative to other teams of the same priority. */
   weightOf(team: string): number
 }
 
-interface Waiter extends Waiting {
-  /** Monotonic time in ms at which the caller gives up. */
+interface Waiter extends QueuedRequest {
+  /** Monotonic time in ms at which the caller stops waiting. */
   deadline: number
-  /** Time between its arrival and its deadline, in ms. */
-  patienceMs: number
+  /** Time from queueing to the deadline, in ms. */
+  allowedMs: number
   settle(how: Admission): void
 }
 
 /** Creates a limiter without requests. */
 export function createLimiter(opts: LimiterOptions): Limiter {
   const { capacity, maxQueue } = opts
-  const turns = createTurns<Waiter>(opts.weightOf)
+  const queue = createFairQueue<Waiter>(opts.weightOf)
   let inFlight = 0
-  /** Running mean of the time that a request holds its place, in ms. */
-  let typicalMs = 0
+  /** Moving average of the time that a request is in flight, in ms. */
+  let meanHeldMs = 0
 
-  function wake(): void {
-    if (turns.size() === 0) return
+  function admitWaiting(): void {
+    if (queue.size() === 0) return
     let free = capacity() - inFlight
     while (free > 0) {
-      const waiter = turns.next()
+      const waiter = queue.next()
       if (!waiter) return
-      if (comesTooLate(waiter)) {
+      if (isTooLate(waiter)) {
         waiter.settle('deadline passed')
         continue
       }
@@ -81,11 +87,14 @@
   }
 
   /**
-   * Whether the request would hardly be answered in time: sent now, it would most likely
-   * end as "unknown", after using a slot for nothing.
+   * Whether the request is unlikely to be answered in time: sent now, it would use a slot
+   * and most likely end with the outcome "unknown".
    */
-  function comesTooLate({ deadline, patienceMs }: Waiter): boolean {
-    const needed = Math.min(typicalMs * NEEDED_TIMES, patienceMs * MAX_NEEDED_SHARE)
+  function isTooLate({ deadline, allowedMs }: Waiter): boolean {
+    const needed = Math.min(
+      meanHeldMs * NEEDED_MEAN_MULTIPLE,
+      allowedMs * MAX_NEEDED_SHARE,
+    )
     return deadline - monotonicMs() < needed
   }
 
@@ -100,9 +109,9 @@
         priority,
         team,
         deadline,
-        patienceMs: deadline - monotonicMs(),
+        allowedMs: deadline - monotonicMs(),
         settle(how) {
-          turns.remove(waiter)
+          queue.remove(waiter)
           clearTimeout(timer)
           unsubscribe()
           if (how === 'admitted') inFlight++
@@ -112,39 +121,39 @@
       const ms = Math.max(0, deadline - monotonicMs())
       const timer = setTimeout(() => waiter.settle('deadline passed'), ms)
       const unsubscribe = cancellation.subscribe(() => waiter.settle('caller left'))
-      turns.add(waiter)
+      queue.add(waiter)
     })
   }
 
   return {
     async admit(request) {
       if (request.cancellation.cancelled) return 'caller left'
-      if (turns.size() === 0 && inFlight < capacity()) {
+      if (queue.size() === 0 && inFlight < capacity()) {
         inFlight++
         return 'admitted'
       }
       if (request.deadline <= monotonicMs()) return 'deadline passed'
-      if (turns.size() >= maxQueue) {
-        const victim = turns.victimFor(request)
-        if (!victim) return 'queue full'
-        victim.settle('queue full')
+      if (queue.size() >= maxQueue) {
+        const evicted = queue.evictionCandidate(request)
+        if (!evicted) return 'queue full'
+        evicted.settle('queue full')
       }
       return wait(request)
     },
-    leave(heldMs) {
+    release(heldMs) {
       inFlight--
-      typicalMs += (heldMs - typicalMs) * SMOOTHING
-      wake()
+      meanHeldMs += (heldMs - meanHeldMs) * MEAN_SMOOTHING
+      admitWaiting()
     },
-    wake,
+    admitWaiting,
     inFlight: () => inFlight,
-    queued: () => turns.size(),
+    queued: () => queue.size(),
   }
 }
 
 /**
- * This entry's part of a limit that holds over all entries: fixed parts that add up to
- * the limit exactly, by the order of the ids in the settings.
+ * This entry's part of a limit shared by all entries. Parts depend only on the sorted ids
+ * of the entries and add up to the limit exactly.
  */
 export function partOfLimit(
   limit: number,
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -1,77 +1,82 @@
 /**
- * At most once for unrepeatable requests that carry their caller's id. Each id has an
- * owner among the entries of its home hall, by rendezvous hashing; the owner says
- * whether the id is new. An entry that stops as planned leaves its memory with another,
- * which stands in for it. After a loss of memory the owner is "unsure" of ids that it
- * may have known, and their requests are not sent. docs/design/once.md states what is
- * promised.
+ * At-most-once execution of unrepeatable requests that carry the caller's id. Each id has
+ * an owner among the entries of its home hall, chosen by rendezvous hashing; the owner
+ * decides whether the id is new. An entry that stops as planned hands its claims over to
+ * another entry, which stands in for it. An owner that has lost its claims answers "unsure"
+ * for ids that it may have known, and their requests are not sent. docs/design/once.md
+ * states the guarantees.
  */
 import { describeError } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { createClaimBook } from './claimBook.js'
-import type { ClaimRecord, ClaimState } from './claimBook.js'
-import { madeAt, ownerOf } from './requestIds.js'
-import type { EntryPlace } from './requestIds.js'
+import { createClaimRegistry } from './claimRegistry.js'
+import type { ClaimRecord, ClaimState } from './claimRegistry.js'
+import { createdAtSeconds, ownerOf } from './requestIds.js'
+import type { EntryLocation } from './requestIds.js'
 
 /** Whether a request may be sent. */
 export type Verdict =
   | { kind: 'first' }
   | { kind: 'repeat'; state: ClaimState }
-  /** `standIn`: the owner is away or stopping, so another entry may stand in for it. */
+  /** `standIn`: the owner is unavailable, and another entry may stand in for it. */
   | { kind: 'unsure'; reason: string; standIn: boolean }
 
-/** Memory that an entry left when it stopped as planned. */
+/** Claims that an entry handed over when it stopped as planned. */
 export interface Legacy {
   claims: ClaimRecord[]
-  /** Whether that memory had no gap; false when nothing was left here. */
+  /** Whether no claim is missing; false when none were handed over to this entry. */
   complete: boolean
 }
 
-/** Calls to other entries; a rejection means that nothing is known of its effect. */
+/**
+ * Calls to other entries; after a rejection the call may or may not have taken effect.
+ */
 export interface OncePeers {
-  /** Asks the owner, or who stands in for the owner that is named. */
+  /** Claims the id at its owner, or at an entry that stands in for `owner`. */
   claim(peer: string, id: string, owner: string, token: string): Promise<Verdict>
   settle(peer: string, id: string, state: ClaimState | 'not-run'): Promise<void>
-  /** Takes back what an earlier life of the caller left there. */
+  /** Takes back the claims that an earlier life of this entry handed over to the peer. */
   collect(peer: string): Promise<Legacy>
   handOver(peer: string, legacy: Legacy): Promise<void>
 }
 
 /** Options of {@link createOnce}. */
 export interface OnceOptions {
-  own: EntryPlace
+  own: EntryLocation
   /** Entries of all halls, this one included. */
-  entries: readonly EntryPlace[]
+  entries: readonly EntryLocation[]
   peers: OncePeers
-  /** Time for which a claim is remembered, in ms. */
+  /** Retention time of a claim, in ms. */
   memoryMs: number
-  /** This entry never ran before, so that there is nothing to remember. */
+  /** Whether this entry has never run before, so that it has no claims to recover. */
   firstLife: boolean
-  /** Whether the entry has spoken lately. */
+  /** Whether the entry has been heard from recently. */
   isReached(entry: string): boolean
-  /** Whether the entry's process is certainly gone, and its memory with it. */
+  /** Whether the entry's process, and its claims with it, is certainly gone. */
   isGone(entry: string): boolean
   /** Monotonic clock in ms. */
   now(): number
-  /** Time of day in s, for ids that name when they were made. */
+  /** Wall-clock time in s, for ids that contain their creation time. */
   wallSeconds(): number
   log: Pick<Logger, 'event'>
 }
 
 /** Decides whether unrepeatable requests may be sent. */
 export interface Once {
-  /** @param token names the request; asking again with it is no repeat. */
+  /**
+   * Claims an id.
+   * @param token identifies the request; claiming again with it is not a repeat.
+   */
   begin(id: string, token: string): Promise<Verdict>
-  /** Notes how a request that had begun ended. */
+  /** Records how a claimed request ended. */
   end(id: string, state: ClaimState | 'not-run'): Promise<void>
   /**
-   * Takes back what an earlier life left with a peer; call it before any `begin`, and again
-   * until it is done. True once nobody is left to ask.
+   * Takes back the claims that an earlier life handed over to a peer. Call it before any
+   * `begin`, and again until it returns true: no peer is left to ask.
    */
   recover(): Promise<boolean>
-  /** Leaves the memory with a peer before a planned stop. */
+  /** Hands the claims over to a peer before a planned stop. */
   leave(): Promise<void>
-  /** What peers ask of this entry. */
+  /** Handlers for calls from peers. */
   answer: {
     claim(id: string, owner: string, token: string): Verdict
     settle(id: string, state: ClaimState | 'not-run'): void
@@ -82,128 +87,149 @@
 
 /** Most claims that an entry remembers. */
 const MAX_CLAIMS = 200_000
-/** Time for which it is remembered who stands in for an owner, in ms. */
-const STAND_IN_MS = 500
-/** Ids dated so far ahead of the own clock are not accepted, in s. */
-const MAX_AHEAD_S = 15
+/** Time for which the result of the search for a stand-in is cached, in ms. */
+const STAND_IN_CACHE_MS = 500
+/** Ids dated more than this ahead of the own clock are not accepted, in s. */
+const MAX_ID_AHEAD_S = 15
 /**
- * Ids made so long after the start are new for certain, in s. An earlier life accepted
- * none dated later than its end and {@link MAX_AHEAD_S}; the rest covers clocks that differ.
+ * Ids dated more than this after the start are certainly new, in s. An earlier life
+ * accepted no id dated more than {@link MAX_ID_AHEAD_S} after its end; the rest allows for
+ * clocks that differ.
  */
 const CLOCK_MARGIN_S = 30
 const unsure = (reason: string): Verdict => ({ kind: 'unsure', reason, standIn: false })
-const away = (reason: string): Verdict => ({ kind: 'unsure', reason, standIn: true })
+const ownerUnavailable = (reason: string): Verdict => ({
+  kind: 'unsure',
+  reason,
+  standIn: true,
+})
 
-/** Creates the memory of one life. */
+/** Creates the at-most-once check for one life of this entry. */
 export function createOnce(opts: OnceOptions): Once {
   const { own, entries, peers, memoryMs, now, log } = opts
   const startedAt = now()
   const startedSeconds = opts.wallSeconds()
-  const newBook = () => createClaimBook({ memoryMs, maxRecords: MAX_CLAIMS, now })
-  const book = newBook()
-  /** Memory of entries that stopped as planned, until their next life takes it back. */
-  const legacies = new Map<
+  const newRegistry = () => createClaimRegistry({ memoryMs, maxRecords: MAX_CLAIMS, now })
+  const ownClaims = newRegistry()
+  /** Claims of entries that stopped as planned, until their next life takes them back. */
+  const handovers = new Map<
     string,
-    { book: ReturnType<typeof newBook>; complete: boolean }
+    { registry: ReturnType<typeof newRegistry>; complete: boolean }
   >()
-  /** The entry that granted each running request of this one. */
+  /** The entry that granted the claim of each request running here. */
   const grantedBy = new Map<string, string>()
-  const ownHallFirst = [...entries]
+  const peersOwnHallFirst = [...entries]
     .filter((entry) => entry.id !== own.id)
     .sort((a, b) => Number(a.hall !== own.hall) - Number(b.hall !== own.hall))
-  /** Who stands in for an owner, as last found out. */
+  /** Last search for a stand-in, by owner; `by` is undefined if none was found. */
   const standIns = new Map<string, { by: string | undefined; until: number }>()
   /**
-   * Entries that may hold the memory of an earlier life. Until each has been asked, one may
-   * stand in for this entry, and a later life may take that memory for the newest.
+   * Entries that may hold claims of an earlier life. Until all have been asked, one of them
+   * may stand in for this entry, and a later life may mistake those claims for the latest.
    */
-  const unasked = new Set(opts.firstLife ? [] : ownHallFirst.map(({ id }) => id))
-  /** Those of them that did not answer, which is logged once each. */
-  const silent = new Set<string>()
+  const unaskedPeers = new Set(
+    opts.firstLife ? [] : peersOwnHallFirst.map(({ id }) => id),
+  )
+  /** Those of them that did not answer; each is logged once. */
+  const silentPeers = new Set<string>()
   let recovered = opts.firstLife
-  let left = false
+  let isLeaving = false
 
-  function hasAsked(): boolean {
-    for (const entry of unasked) if (opts.isGone(entry)) unasked.delete(entry)
-    return recovered || unasked.size === 0
+  function hasAskedAll(): boolean {
+    for (const entry of unaskedPeers) if (opts.isGone(entry)) unaskedPeers.delete(entry)
+    return recovered || unaskedPeers.size === 0
   }
 
-  /** Whether an id that is not in the book is new for certain, once everyone is asked. */
-  function isSure(id: string): boolean {
+  /**
+   * Whether an unclaimed id is certainly new, provided that all peers have been asked.
+   */
+  function isCertainlyNew(id: string): boolean {
     if (recovered || now() - startedAt >= memoryMs) return true
-    return madeAt(id) > startedSeconds + CLOCK_MARGIN_S
+    return createdAtSeconds(id) > startedSeconds + CLOCK_MARGIN_S
   }
 
-  function claim(id: string, token: string, from: typeof book, sure: boolean): Verdict {
-    const known = from.find(id)
-    const sameRequest = known?.token === token && known.state === 'running'
-    if (sameRequest) return { kind: 'first' }
+  function claim(
+    id: string,
+    token: string,
+    registry: typeof ownClaims,
+    isCertain: boolean,
+  ): Verdict {
+    const known = registry.find(id)
+    const isSameRequest = known?.token === token && known.state === 'running'
+    if (isSameRequest) return { kind: 'first' }
     if (known) return { kind: 'repeat', state: known.state }
-    const ahead = madeAt(id) > opts.wallSeconds() + MAX_AHEAD_S
-    if (ahead) return unsure('the id is dated in the future; check the clocks')
-    if (left) return away('the owner of the id is stopping')
-    if (!sure) return unsure('the owner of the id has started anew')
-    if (!from.add({ id, state: 'running', ageMs: 0, token }))
+    const isInFuture = createdAtSeconds(id) > opts.wallSeconds() + MAX_ID_AHEAD_S
+    if (isInFuture) return unsure('the id is dated in the future; check the clocks')
+    if (isLeaving) return ownerUnavailable('the owner of the id is stopping')
+    if (!isCertain) return unsure('the owner of the id has started anew')
+    if (!registry.add({ id, state: 'running', ageMs: 0, token }))
       return unsure('too many requests are remembered')
     return { kind: 'first' }
   }
 
-  /** Decides as the owner, or for an owner whose memory is here. */
-  function decide(id: string, owner: string, token: string): Verdict {
+  /** Decides as the owner of the id, or for an owner whose claims are here. */
+  function decideClaim(id: string, owner: string, token: string): Verdict {
     if (owner === own.id) {
-      if (!hasAsked()) return away('the owner of the id lacks its memory')
-      return claim(id, token, book, isSure(id))
+      if (!hasAskedAll()) return ownerUnavailable('the owner of the id lacks its memory')
+      return claim(id, token, ownClaims, isCertainlyNew(id))
     }
-    const legacy = legacies.get(owner)
-    if (!legacy) return away('this entry does not stand in for the owner')
-    return claim(id, token, legacy.book, legacy.complete)
+    const legacy = handovers.get(owner)
+    if (!legacy) return ownerUnavailable('this entry does not stand in for the owner')
+    return claim(id, token, legacy.registry, legacy.complete)
   }
 
-  async function ask(
+  async function claimAt(
     peer: string,
     id: string,
     owner: string,
     token: string,
   ): Promise<Verdict> {
-    if (peer === own.id) return decide(id, owner, token)
-    if (!opts.isReached(peer)) return away(`${peer}, which owns the id, does not answer`)
+    if (peer === own.id) return decideClaim(id, owner, token)
+    if (!opts.isReached(peer))
+      return ownerUnavailable(`${peer}, which owns the id, does not answer`)
     return peers
       .claim(peer, id, owner, token)
-      .catch(() => away(`${peer}, which owns the id, does not answer`))
+      .catch(() => ownerUnavailable(`${peer}, which owns the id, does not answer`))
   }
 
   /**
-   * Asks whoever stands in for the owner. That nobody does is remembered for a while, so
-   * that the loss of an entry does not multiply the messages of each request.
+   * Claims the id at the entry that stands in for the owner. The absence of a stand-in is
+   * cached too, so that the loss of an entry does not multiply the messages per request.
    */
-  async function askStandIn(
+  async function claimAtStandIn(
     id: string,
     owner: string,
     token: string,
   ): Promise<[string, Verdict]> {
-    const none: [string, Verdict] = [owner, away('nobody stands in for the owner')]
+    const none: [string, Verdict] = [
+      owner,
+      ownerUnavailable('nobody stands in for the owner'),
+    ]
     const known = standIns.get(owner)
     if (known && now() < known.until) {
       if (known.by === undefined) return none
-      const verdict = await ask(known.by, id, owner, token)
-      // It may have given the memory back to the owner's next life meanwhile.
+      const verdict = await claimAt(known.by, id, owner, token)
+      // Meanwhile the stand-in may have returned the claims to the owner's next life.
       return verdict.kind === 'unsure' && verdict.standIn ? none : [known.by, verdict]
     }
-    for (const { id: other } of [own, ...ownHallFirst]) {
+    for (const { id: other } of [own, ...peersOwnHallFirst]) {
       if (other === owner) continue
-      const verdict = await ask(other, id, owner, token)
+      const verdict = await claimAt(other, id, owner, token)
       if (verdict.kind === 'unsure') continue
-      standIns.set(owner, { by: other, until: now() + STAND_IN_MS })
+      standIns.set(owner, { by: other, until: now() + STAND_IN_CACHE_MS })
       return [other, verdict]
     }
-    standIns.set(owner, { by: undefined, until: now() + STAND_IN_MS })
+    standIns.set(owner, { by: undefined, until: now() + STAND_IN_CACHE_MS })
     return none
   }
 
-  /** Notes the state in whichever book knows the id. */
-  function note(id: string, state: ClaimState | 'not-run'): void {
-    const books = [book, ...[...legacies.values()].map((legacy) => legacy.book)]
-    for (const each of books) {
+  /** Records the state in every registry that knows the id. */
+  function recordState(id: string, state: ClaimState | 'not-run'): void {
+    const registries = [
+      ownClaims,
+      ...[...handovers.values()].map((legacy) => legacy.registry),
+    ]
+    for (const each of registries) {
       if (state === 'not-run') each.remove(id)
       else each.set(id, state)
     }
@@ -212,13 +238,13 @@
   async function collectFrom(peer: string): Promise<Legacy | undefined> {
     try {
       const legacy = await peers.collect(peer)
-      unasked.delete(peer)
+      unaskedPeers.delete(peer)
       return legacy
     } catch (cause) {
-      if (!silent.has(peer)) {
+      if (!silentPeers.has(peer)) {
         log.event('onceMemoryNotGiven', { peer, reason: describeError(cause) })
       }
-      silent.add(peer)
+      silentPeers.add(peer)
       return undefined
     }
   }
@@ -227,9 +253,9 @@
     async begin(id, token) {
       const owner = ownerOf(id, entries)
       let by = owner
-      let verdict = await ask(owner, id, owner, token)
+      let verdict = await claimAt(owner, id, owner, token)
       if (verdict.kind === 'unsure' && verdict.standIn) {
-        ;[by, verdict] = await askStandIn(id, owner, token)
+        ;[by, verdict] = await claimAtStandIn(id, owner, token)
       }
       if (verdict.kind === 'first') grantedBy.set(id, by)
       return verdict
@@ -237,53 +263,56 @@
     async end(id, state) {
       const by = grantedBy.get(id)
       grantedBy.delete(id)
-      note(id, state)
-      // A lost message leaves the id claimed there: a repeat is then told "unknown".
+      recordState(id, state)
+      // If this message is lost, the id stays claimed there: a repeat is told "unknown".
       if (by !== undefined && by !== own.id) {
         await peers.settle(by, id, state).catch(() => undefined)
       }
     },
     async recover() {
-      if (hasAsked()) return true
-      const found = await Promise.all([...unasked].map(collectFrom))
+      if (hasAskedAll()) return true
+      const found = await Promise.all([...unaskedPeers].map(collectFrom))
       for (const record of found.flatMap((each) => each?.claims ?? [])) {
-        if (book.find(record.id) === undefined) book.add(record)
+        if (ownClaims.find(record.id) === undefined) ownClaims.add(record)
       }
       recovered = found.some((each) => each?.complete)
-      const done = hasAsked()
+      const done = hasAskedAll()
       if (done && !recovered) log.event('onceMemoryMissing')
       return done
     },
     async leave() {
-      if (left) return
-      left = true
-      const complete = recovered || (hasAsked() && now() - startedAt >= memoryMs)
-      // To one peer only: after a lost reply a second one would stand in as well.
-      const heir = ownHallFirst.find(({ id }) => opts.isReached(id))
-      if (!heir) {
-        log.event('onceMemoryNotLeft', { reason: 'no other entry is reached' })
+      if (isLeaving) return
+      isLeaving = true
+      const complete = recovered || (hasAskedAll() && now() - startedAt >= memoryMs)
+      // Only one peer is tried: after a lost reply, a second one would stand in as well.
+      const successor = peersOwnHallFirst.find(({ id }) => opts.isReached(id))
+      if (!successor) {
+        log.event('onceMemoryNotLeft', { reason: 'no other entry is reachable' })
         return
       }
-      const legacy = { claims: book.records(), complete }
-      await peers.handOver(heir.id, legacy).catch((cause) => {
-        log.event('onceMemoryNotLeft', { peer: heir.id, reason: describeError(cause) })
+      const legacy = { claims: ownClaims.records(), complete }
+      await peers.handOver(successor.id, legacy).catch((cause) => {
+        log.event('onceMemoryNotLeft', {
+          peer: successor.id,
+          reason: describeError(cause),
+        })
       })
     },
     answer: {
-      claim: decide,
-      settle: note,
+      claim: decideClaim,
+      settle: recordState,
       collect(from) {
-        const legacy = legacies.get(from)
-        legacies.delete(from)
+        const legacy = handovers.get(from)
+        handovers.delete(from)
         return {
-          claims: legacy?.book.records() ?? [],
+          claims: legacy?.registry.records() ?? [],
           complete: legacy?.complete ?? false,
         }
       },
       handOver(from, { claims, complete }) {
-        const legacy = { book: newBook(), complete: complete && !left }
-        for (const record of claims) legacy.book.add(record)
-        legacies.set(from, legacy)
+        const legacy = { registry: newRegistry(), complete: complete && !isLeaving }
+        for (const record of claims) legacy.registry.add(record)
+        handovers.set(from, legacy)
       },
     },
   }
--- a/src/entry/targetLoop.ts
+++ b/src/entry/retryLoop.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts of one request: choice of a target, sending, and whether another attempt
- * may follow. What is said at the end covers all attempts: "not run" only if none ran.
+ * Attempts of one request: chooses a target, sends the request and decides whether to
+ * retry. The result covers all attempts: it is `not-run` only if none of them ran.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { fullJitter, sleep } from '../shared/index.js'
@@ -15,28 +15,28 @@
 import { REQUEST_ID_HEADER, RETRY_BASE_MS, RETRY_CAP_MS } from './constants.js'
 import { headersForTarget } from './headers.js'
 import type { RetryBudget } from './retryBudget.js'
-import { takesWork } from './target.js'
+import { acceptsRequests } from './target.js'
 import type { Target } from './target.js'
 
-/** One request on its way. */
+/** A request being served, with its response. */
 export interface Exchange {
   call: Call
   req: IncomingMessage
   res: ServerResponse
   body: RequestBody
-  /** Fires when the caller leaves or the deadline passes. */
+  /** Cancelled when the caller disconnects or the deadline passes. */
   cancellation: Cancellation
 }
 
-/** Options of {@link createTargetLoop}. */
-export interface TargetLoopOptions {
-  /** Attempts per request at the most. */
+/** Options of {@link createRetryLoop}. */
+export interface RetryLoopOptions {
+  /** Most attempts per request. */
   attempts: number
   choose: Policy
   budget: RetryBudget
   targets(service: string): readonly Target[]
   log: Logger
-  noteAttempt(service: string, result: AttemptResult['kind']): void
+  recordAttempt(service: string, result: AttemptResult['kind']): void
 }
 
 type Failure = Extract<AttemptResult, { kind: 'not-run' | 'unknown' }>
@@ -50,14 +50,14 @@
   refusedByTarget: false,
 }
 
-/** Creates the function that sends a request; it never rejects. */
-export function createTargetLoop(opts: TargetLoopOptions) {
+/** Creates the function that sends a request with retries; it never rejects. */
+export function createRetryLoop(opts: RetryLoopOptions) {
   const { budget, log } = opts
 
   return async function tryTargets(exchange: Exchange): Promise<AttemptResult> {
     const { call, cancellation } = exchange
     const tried = new Set<Target>()
-    let worst = noTarget
+    let worstFailure = noTarget
     for (let attempt = 1; attempt <= opts.attempts; attempt++) {
       if (attempt > 1) {
         if (!budget.withdraw()) break
@@ -68,19 +68,19 @@
       if (candidates.length === 0) break
       const target = opts.choose(candidates, Math.random)
       tried.add(target)
-      noteRoute(call, target, candidates, attempt)
+      logRoute(call, target, candidates, attempt)
       const result = await attemptAt(target, exchange)
-      opts.noteAttempt(call.service, result.kind)
+      opts.recordAttempt(call.service, result.kind)
       if (!isFailure(result)) return result
-      noteFailure(call, target, result, attempt)
-      // Once an attempt may have run, a later one that did not changes nothing.
-      if (worst.kind !== 'unknown') worst = result
+      logFailure(call, target, result, attempt)
+      // A later attempt that did not run does not settle whether an earlier one ran.
+      if (worstFailure.kind !== 'unknown') worstFailure = result
       if (!mayRepeat(result, exchange) || cancellation.cancelled) break
     }
-    return worst
+    return worstFailure
   }
 
-  function noteRoute(
+  function logRoute(
     call: Call,
     target: Target,
     candidates: readonly Target[],
@@ -94,17 +94,17 @@
     log.event('routed', decision)
   }
 
-  function noteFailure(call: Call, target: Target, result: Failure, attempt: number) {
+  function logFailure(call: Call, target: Target, result: Failure, attempt: number) {
     const { kind, reason } = result
     const { vm, job } = target
     log.event('attemptFailed', { request: call.id, vm, job, kind, reason, attempt })
   }
 }
 
-/** Whether the request may be sent once more after this failure. */
+/** Whether the request may be sent again after this failure. */
 function mayRepeat(result: Failure, { call, body }: Exchange): boolean {
-  // Bytes that were taken from the caller's stream cannot be sent again.
-  if (body.kind === 'streamed' && body.started()) return false
+  // Bytes read from the caller's stream cannot be sent again.
+  if (body.kind === 'streamed' && body.isStarted()) return false
   return result.kind === 'not-run' || call.repeatable
 }
 
@@ -114,27 +114,31 @@
   try {
     const connection = await target.acquire()
     if (connection.isErr()) {
-      target.noteAttempt(false)
+      target.recordAttempt(false)
       const reason = connection.error.message
       return { kind: 'not-run', reason, refusedByTarget: false }
     }
     const client = connection.value
-    if (!takesWork(target)) {
+    if (!acceptsRequests(target)) {
       target.release(client, true)
-      return { kind: 'not-run', reason: 'target is leaving', refusedByTarget: true }
+      return {
+        kind: 'not-run',
+        reason: 'target is leaving',
+        refusedByTarget: true,
+      }
     }
     const headers = headersForTarget(req.rawHeaders)
     if (!call.idGiven) headers.push(REQUEST_ID_HEADER, call.id)
     const result = await runAttempt({ client, call, headers, body, res, cancellation })
     const refused = result.kind === 'not-run' && result.refusedByTarget
     target.release(client, result.kind === 'answered' || refused)
-    if (result.kind !== 'caller-left') target.noteAttempt(wentWell(result))
+    if (result.kind !== 'caller-left') target.recordAttempt(isSuccess(result))
     return result
   } finally {
     target.inFlight--
   }
 }
 
-function wentWell(result: AttemptResult): boolean {
+function isSuccess(result: AttemptResult): boolean {
   return result.kind === 'answered' && result.status < 500
 }
--- a/src/entry/target.ts
+++ b/src/entry/target.ts
@@ -1,4 +1,6 @@
-/** One target as this entry sees it: counts, health, exclusion. One task watches each. */
+/**
+ * A target as seen by this entry: load, health, exclusion. One task checks its health.
+ */
 import type { Client } from 'undici'
 import type { Result } from 'neverthrow'
 import { createStopController, jittered, monotonicMs, sleep } from '../shared/index.js'
@@ -11,31 +13,31 @@
 export interface Target extends TargetIdentity {
   service: string
   slots: number
-  /** Requests of this entry that run there. */
+  /** Requests of this entry in flight at the target. */
   inFlight: number
-  /** Load that the target last reported, over all entries. */
+  /** Load over all entries, as last reported by the target. */
   reportedLoad: number
-  /** Own requests in flight when it reported. */
+  /** Requests of this entry in flight at the time of that report. */
   inFlightAtReport: number
-  /** The VM's row says that it takes work. */
+  /** Whether the rows of its job and VM allow new requests. */
   active: boolean
-  /** The platform's list says that the VM leaves. */
+  /** Whether the platform lists the VM as leaving. */
   listedLeaving: boolean
-  /** The target itself says that it drains, to this entry or to another one. */
+  /** Whether the target has told this entry or another one that it drains. */
   draining: boolean
-  /** It said so to this entry. */
-  saidDraining: boolean
-  /** The address answered as somebody else. */
-  mismatched: boolean
-  /** Monotonic time in ms until which it is excluded; 0 when it is not. */
+  /** Whether the target has told this entry that it drains. */
+  reportsDraining: boolean
+  /** Whether another VM, incarnation or job answered at the address. */
+  isMismatched: boolean
+  /** Monotonic time in ms until which the target is excluded; 0 when it is not. */
   excludedUntil: number
   failuresInRow: number
   acquire(): Promise<Result<Client, RillshuntError>>
   release(client: Client, reusable: boolean): void
-  /** Notes what another entry was told. */
-  notePeerDraining(draining: boolean): void
-  /** Notes how an attempt went. */
-  noteAttempt(wentWell: boolean): void
+  /** Sets whether the target has told another entry that it drains. */
+  setPeerDraining(draining: boolean): void
+  /** Records the result of a request or health check. */
+  recordAttempt(isSuccess: boolean): void
   close(): Promise<void>
 }
 
@@ -47,28 +49,28 @@
   connectTimeoutMs: number
   healthIntervalMs: number
   /**
-   * Whether this entry is the one that asks the target for its health.
+   * Whether this entry is assigned to check the target's health.
    * @default always
    */
-  onDuty?: () => boolean
-  /** Called when the target has told this entry that it drains, or no longer does. */
+  isHealthCheckAssigned?: () => boolean
+  /** Called when the target begins or ceases to tell this entry that it drains. */
   onDraining?: () => void
   log: Logger
 }
 
-/** Creates a target and starts its health task. */
+/** Creates a target and starts its health check task. */
 export function createTarget(opts: TargetOptions): Target {
   const { identity, log } = opts
   const stopping = createStopController()
-  let exclusions = 0
+  let exclusionsInRow = 0
   let peerDraining = false
 
   const connections = createTargetConnections({
     identity,
     connectTimeoutMs: opts.connectTimeoutMs,
     onMismatch(found) {
-      if (!target.mismatched) log.event('identityMismatch', { ...identity, found })
-      target.mismatched = true
+      if (!target.isMismatched) log.event('identityMismatch', { ...identity, found })
+      target.isMismatched = true
     },
   })
 
@@ -82,20 +84,20 @@
     active: true,
     listedLeaving: false,
     draining: false,
-    saidDraining: false,
-    mismatched: false,
+    reportsDraining: false,
+    isMismatched: false,
     excludedUntil: 0,
     failuresInRow: 0,
     acquire: connections.acquire,
     release: connections.release,
-    notePeerDraining(draining) {
+    setPeerDraining(draining) {
       peerDraining = draining
       updateDraining('peer')
     },
-    noteAttempt(wentWell) {
-      if (wentWell) {
+    recordAttempt(isSuccess) {
+      if (isSuccess) {
         target.failuresInRow = 0
-        exclusions = 0
+        exclusionsInRow = 0
         return
       }
       target.failuresInRow++
@@ -110,8 +112,8 @@
 
   function exclude(): void {
     if (target.excludedUntil > monotonicMs()) return
-    const ms = Math.min(EXCLUDE_CAP_MS, EXCLUDE_BASE_MS * 2 ** exclusions)
-    exclusions++
+    const ms = Math.min(EXCLUDE_CAP_MS, EXCLUDE_BASE_MS * 2 ** exclusionsInRow)
+    exclusionsInRow++
     target.excludedUntil = monotonicMs() + ms
     log.event('targetExcluded', { ...identity, service: opts.service, ms })
   }
@@ -119,48 +121,48 @@
   function readmit(): void {
     if (target.excludedUntil === 0 || target.excludedUntil > monotonicMs()) return
     target.excludedUntil = 0
-    // On probation: the next failure excludes it again, for twice as long.
+    // One more failure excludes the target again, for twice as long.
     target.failuresInRow = EXCLUDE_AFTER_FAILURES - 1
     log.event('targetReadmitted', { ...identity, service: opts.service })
   }
 
   async function watchHealth(): Promise<void> {
     while (!stopping.signal.aborted) {
-      if (mustAsk()) await askHealth()
+      if (isCheckDue()) await checkHealth()
       await sleep(jittered(opts.healthIntervalMs), stopping.signal)
     }
   }
 
-  /** An excluded or foreign target is asked by each entry for itself. */
-  function mustAsk(): boolean {
-    const { excludedUntil, mismatched, saidDraining } = target
-    if (excludedUntil > 0 || mismatched || saidDraining) return true
-    return opts.onDuty?.() ?? true
+  /** An excluded, mismatched or draining target is checked by every entry. */
+  function isCheckDue(): boolean {
+    const { excludedUntil, isMismatched, reportsDraining } = target
+    if (excludedUntil > 0 || isMismatched || reportsDraining) return true
+    return opts.isHealthCheckAssigned?.() ?? true
   }
 
-  async function askHealth(): Promise<void> {
+  async function checkHealth(): Promise<void> {
     const health = await connections.health()
     if (stopping.signal.aborted) return
     if (health.isOk()) {
-      target.mismatched = false
+      target.isMismatched = false
       target.reportedLoad = health.value.load
       target.inFlightAtReport = target.inFlight
       noteDraining(health.value.state === 'draining')
       readmit()
     } else {
-      target.noteAttempt(false)
+      target.recordAttempt(false)
     }
   }
 
   function noteDraining(draining: boolean): void {
-    if (draining === target.saidDraining) return
-    target.saidDraining = draining
+    if (draining === target.reportsDraining) return
+    target.reportsDraining = draining
     updateDraining('health')
     opts.onDraining?.()
   }
 
   function updateDraining(source: 'health' | 'peer'): void {
-    const draining = target.saidDraining || peerDraining
+    const draining = target.reportsDraining || peerDraining
     if (draining && !target.draining) log.event('targetLeaving', { ...identity, source })
     target.draining = draining
   }
@@ -169,8 +171,8 @@
   return target
 }
 
-/** Whether the target may get new work. */
-export function takesWork(target: Target): boolean {
-  const { active, listedLeaving, draining, mismatched } = target
-  return active && !listedLeaving && !draining && !mismatched
+/** Whether the target may receive new requests. */
+export function acceptsRequests(target: Target): boolean {
+  const { active, listedLeaving, draining, isMismatched } = target
+  return active && !listedLeaving && !draining && !isMismatched
 }
--- a/src/entry/targetConnection.ts
+++ b/src/entry/targetConnection.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to one target. Each is asked who answers before it carries a request,
- * and never connects again by itself: an address that another VM or a later
- * incarnation has taken over is noticed before any byte of a request is sent.
+ * Connections to one target. The identity at the other end of each is verified before it
+ * carries a request, and it never reconnects by itself. An address that another VM or a
+ * later incarnation has taken over is thus detected before any byte of a request is sent.
  */
 import { err, fromThrowable, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
@@ -11,19 +11,19 @@
 import { RillshuntError, describeError } from '../shared/index.js'
 import { HEALTH_PATH, IDLE_TIMEOUT_MS, MAX_IDLE_CONNECTIONS } from './constants.js'
 
-/** What a target says of itself. */
+/** Answer of a target to a health request. */
 export const healthSchema = z.object({
   vm: z.string(),
   incarnation: z.string(),
   /** Task id; an address may be reused by another service of the same VM. */
   job: z.string(),
   state: z.enum(['ok', 'draining']),
-  /** Requests that it runs or holds. */
+  /** Requests running or waiting at the target. */
   load: z.number().int().min(0),
 })
 export type Health = z.infer<typeof healthSchema>
 
-/** Who must answer at an address. */
+/** Identity that must answer at an address. */
 export interface TargetIdentity {
   job: string
   vm: string
@@ -33,11 +33,11 @@
 
 /** Verified connections to one target. */
 export interface TargetConnections {
-  /** A connection that is free and proved; it belongs to the caller until given back. */
+  /** Returns a verified connection for exclusive use until `release`. */
   acquire(): Promise<Result<Client, RillshuntError>>
-  /** Gives a connection back; one that is not reusable is closed. */
+  /** Returns a connection to the pool; one that is not reusable is closed. */
   release(client: Client, reusable: boolean): void
-  /** Asks for health on a proved connection. */
+  /** Requests the health and verifies the identity in the answer. */
   health(): Promise<Result<Health, RillshuntError>>
   close(): Promise<void>
 }
@@ -45,19 +45,19 @@
 /** Options of {@link createTargetConnections}. */
 export interface TargetConnectionsOptions {
   identity: TargetIdentity
-  /** Longest wait for a proved connection, in ms. */
+  /** Longest time to open and verify a connection, in ms. */
   connectTimeoutMs: number
   /** Called when the address answers as another VM, incarnation or job. */
   onMismatch: (found: Health) => void
 }
 
-/** Creates the pool; nothing is connected before the first use. */
+/** Creates the pool, which connects on demand. */
 export function createTargetConnections(
   opts: TargetConnectionsOptions,
 ): TargetConnections {
   const { identity, connectTimeoutMs } = opts
   const idle: Client[] = []
-  const lost = new WeakSet<Client>()
+  const disconnected = new WeakSet<Client>()
   let closed = false
 
   const fail = (step: string, cause: unknown) =>
@@ -76,7 +76,7 @@
       bodyTimeout: 0,
     })
     client.on('disconnect', () => {
-      lost.add(client)
+      disconnected.add(client)
       drop(client)
     })
     return client
@@ -88,14 +88,14 @@
     client.destroy().catch(() => {})
   }
 
-  async function prove(client: Client): Promise<Result<Health, RillshuntError>> {
-    const answer = await askHealth(client, connectTimeoutMs)
+  async function verify(client: Client): Promise<Result<Health, RillshuntError>> {
+    const answer = await requestHealth(client, connectTimeoutMs)
     if (answer.isErr()) {
       drop(client)
       return fail('connect', answer.error)
     }
     const health = answer.value
-    if (isSame(health, identity)) return ok(health)
+    if (matchesIdentity(health, identity)) return ok(health)
     opts.onMismatch(health)
     drop(client)
     return fail('identity', `answers as ${health.vm}/${health.incarnation}/${health.job}`)
@@ -103,16 +103,16 @@
 
   async function acquire(): Promise<Result<Client, RillshuntError>> {
     if (closed) return fail('connect', 'target is removed')
-    const free = idle.pop()
-    if (free) return ok(free)
+    const idleClient = idle.pop()
+    if (idleClient) return ok(idleClient)
     const client = connect()
-    const proof = await prove(client)
-    return proof.map(() => client)
+    const verified = await verify(client)
+    return verified.map(() => client)
   }
 
   function release(client: Client, reusable: boolean): void {
-    const keep = reusable && !closed && !lost.has(client)
-    if (keep && idle.length < MAX_IDLE_CONNECTIONS) idle.push(client)
+    const isKept = reusable && !closed && !disconnected.has(client)
+    if (isKept && idle.length < MAX_IDLE_CONNECTIONS) idle.push(client)
     else drop(client)
   }
 
@@ -121,9 +121,9 @@
     release,
     async health() {
       const client = idle.pop() ?? connect()
-      const proof = await prove(client)
-      if (proof.isOk()) release(client, true)
-      return proof
+      const verified = await verify(client)
+      if (verified.isOk()) release(client, true)
+      return verified
     },
     async close() {
       closed = true
@@ -133,10 +133,13 @@
 }
 
 /**
- * Asks for health through a bare handler: at one check a second and target, the comfort of
- * `request` with an abort signal showed in the idle processor time.
+ * Requests the health through a dispatch handler: at one check per second and target,
+ * `request` with an abort signal takes noticeable CPU time on an idle entry.
  */
-function askHealth(client: Client, timeoutMs: number): Promise<Result<Health, Error>> {
+function requestHealth(
+  client: Client,
+  timeoutMs: number,
+): Promise<Result<Health, Error>> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = []
     let control: Dispatcher.DispatchController | undefined
@@ -166,12 +169,14 @@
   (cause) => cause as Error,
 )
 
-function isSame(health: Health, identity: TargetIdentity): boolean {
+function matchesIdentity(health: Health, identity: TargetIdentity): boolean {
   const { vm, incarnation, job } = identity
   return health.vm === vm && health.incarnation === incarnation && health.job === job
 }
 
-/** A connector that refuses the second use, so that undici cannot connect again unseen. */
+/**
+ * A connector that fails on its second use, so that undici cannot reconnect by itself.
+ */
 function connectOnce(timeout: number): Connector.connector {
   const connector = buildConnector({ timeout })
   let used = false
