--- a/playground/__tests__/cluster.spec.ts
+++ b/playground/__tests__/cluster.spec.ts
@@ -41,11 +41,11 @@
     },
   })
   t.teardown(() => cluster.stop())
-  await until(() => allServe(cluster))
+  await waitUntil(() => allServe(cluster))
   return { cluster, events }
 }
 
-async function until(check: () => boolean | Promise<boolean>): Promise<void> {
+async function waitUntil(check: () => boolean | Promise<boolean>): Promise<void> {
   while (!(await check())) await new Promise((resolve) => setTimeout(resolve, 20))
 }
 
@@ -73,17 +73,26 @@
     signal,
   })
 
-function checkPromises(t: ExecutionContext, cluster: Cluster, report: LoadReport): void {
+function checkGuarantees(
+  t: ExecutionContext,
+  cluster: Cluster,
+  report: LoadReport,
+): void {
   const check = checkLedger(report.records, (id) => cluster.ledger.get(id) ?? 0)
   t.deepEqual(check, { doubled: 0, lost: 0, falseNotRun: 0 })
   t.is(report.foreign, 0)
 }
 
 /** Events that tell of a request that was not answered, and of the nodes around it. */
-const TELLING = /peerLost|kernelStop|kernelStarted|targetExcluded|unexpectedError/
+const DIAGNOSTIC_EVENTS =
+  /peerLost|kernelStop|kernelStarted|targetExcluded|unexpectedError/
 
 /** Tells of each request that was cut off or refused, so that a failure can be traced. */
-function explain(t: ExecutionContext, report: LoadReport, events: LoggedEvent[]): void {
+function logUnanswered(
+  t: ExecutionContext,
+  report: LoadReport,
+  events: LoggedEvent[],
+): void {
   const lost = report.records.filter(({ outcome }) => outcome !== 'answered')
   if (lost.length === 0) return
   for (const each of lost.slice(0, 20)) {
@@ -92,7 +101,7 @@
   }
   t.log(
     `${lost.length} requests`,
-    events.filter(({ name }) => TELLING.test(name)),
+    events.filter(({ name }) => DIAGNOSTIC_EVENTS.test(name)),
   )
 }
 
@@ -107,11 +116,11 @@
     const stop = new AbortController()
     const running = load(cluster, 'wave-', stop.signal)
     await cluster.accept(waveOf(SEED_TABLE, 'ranking'))
-    await until(() => events.filter(({ name }) => name === 'waveDone').length === 2)
+    await waitUntil(() => events.filter(({ name }) => name === 'waveDone').length === 2)
     stop.abort()
     const report = await running
-    explain(t, report, events)
-    checkPromises(t, cluster, report)
+    logUnanswered(t, report, events)
+    checkGuarantees(t, cluster, report)
     t.is(report.unknown, 0)
     t.is(report.notRun, 0)
     const done = events
@@ -130,7 +139,7 @@
     const [failed] = view.targets('timing')
     await cluster.fleet.failTask(failed!.job)
     const jobs = () => view.targets('timing').map((target) => target.job)
-    await until(() => jobs().length === 2 && !jobs().includes(failed!.job))
+    await waitUntil(() => jobs().length === 2 && !jobs().includes(failed!.job))
     t.pass()
   })
 
@@ -140,7 +149,7 @@
       ...SEED_TABLE,
       'pool/spare': { weight: '1', limit: '0' },
     })
-    await until(() =>
+    await waitUntil(() =>
       cluster.nodes.every(({ kernel }) => kernel.get('table').current()?.epoch === epoch),
     )
     t.is(epoch, 2)
@@ -149,9 +158,9 @@
   it('finish a wave whose keepers are replaced in the middle', async (t) => {
     const { cluster, events } = await setUp(t, 2)
     await cluster.accept(waveOf(SEED_TABLE, 'activation'))
-    await until(() => events.some(({ name }) => name === 'vmMaintStarted'))
+    await waitUntil(() => events.some(({ name }) => name === 'vmMaintStarted'))
     for (const id of ['h1-k1', 'h2-k1', 'h1-k2', 'h2-k2']) await cluster.restartNode(id)
-    await until(() => events.filter(({ name }) => name === 'waveDone').length >= 2)
+    await waitUntil(() => events.filter(({ name }) => name === 'waveDone').length >= 2)
     const reboots = [...cluster.fleet.reboots().values()]
     t.true(reboots.every((times) => times <= 1))
     t.true(reboots.filter((times) => times === 1).length >= 4)
@@ -179,8 +188,8 @@
     for (const { id } of others) await cluster.restartNode(id)
     stop.abort()
     const report = await running
-    explain(t, report, events)
-    checkPromises(t, cluster, report)
+    logUnanswered(t, report, events)
+    checkGuarantees(t, cluster, report)
     return report
   }
 
--- a/playground/__tests__/foreignRows.spec.ts
+++ b/playground/__tests__/foreignRows.spec.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { request } from 'undici'
 import { describe, itAlone } from '../../test/describe.js'
-import { isReady, until } from '../../test/nodeProbe.js'
+import { isReady, waitUntil } from '../../test/nodeProbe.js'
 import { foreignKey, foreignText } from '../../test/foreignRows.js'
 import { findBrokenPromise } from '../../test/jobRig.js'
 import { endedKey, intakeKey } from '../../src/jobs/index.js'
@@ -16,7 +16,7 @@
 
 const JOBS = 60
 /** Time between two rows of the other writer, in ms. */
-const STEP_MS = 25
+const WRITE_INTERVAL_MS = 25
 
 /** Seed of the texts in CI; others by hand: `FOREIGN_SEED=7`. */
 const SEED = Number(process.env['FOREIGN_SEED'] ?? 4111)
@@ -55,10 +55,10 @@
   capacity: { cpu: 8000, mem_mb: 32_000, gpu: 0 },
 })
 /** Bytes that are no text, between quotes and alone, as the stand-in's wire has them. */
-const NO_TEXT = ['\uD800', '"\uD800"', ENTRY.replace('h1', '\uD800')]
+const INVALID_UTF8 = ['\uD800', '"\uD800"', ENTRY.replace('h1', '\uD800')]
 
 /** Where rows that the nodes read may lie beside their own. */
-const PLACES: Omit<RowKey, 'key'>[] = [
+const LOCATIONS: Omit<RowKey, 'key'>[] = [
   { table: 'servers', part: '' },
   { table: 'nodes', part: 'stranger' },
   { table: 'intake', part: `${QUEUE_NAME}/0` },
@@ -74,7 +74,7 @@
 function startWriter(platform: SimPlatform) {
   const { table, vms } = platform
   const write = fc.record({
-    text: fc.oneof(foreignText(ENTRY), fc.constantFrom(...NO_TEXT)),
+    text: fc.oneof(foreignText(ENTRY), fc.constantFrom(...INVALID_UTF8)),
     key: foreignKey,
     pick: fc.nat({ max: 1000 }),
   })
@@ -86,11 +86,11 @@
     if (next % 2 && id !== undefined) {
       return void table.put({ table: 'servers', part: '', key: id }, text)
     }
-    const place = PLACES[pick % PLACES.length]!
+    const place = LOCATIONS[pick % LOCATIONS.length]!
     if (place.table === 'intake' && key.endsWith('.cancel')) return
     table.put({ ...place, key }, text)
   }
-  const timer = setInterval(step, STEP_MS)
+  const timer = setInterval(step, WRITE_INTERVAL_MS)
   return { stop: () => clearInterval(timer), written: () => next }
 }
 
@@ -107,7 +107,7 @@
       startNodeProcess(platform, name, `h${(each % 2) + 1}`),
     ),
   )
-  for (const node of nodes) await until(() => isReady(node))
+  for (const node of nodes) await waitUntil(() => isReady(node))
   return { platform, nodes }
 }
 
@@ -129,7 +129,7 @@
       const alive = () =>
         nodes.filter(({ child }) => child.exitCode === null && !child.killed)
       for (let number = 1; number <= JOBS; number++) {
-        await until(async () => {
+        await waitUntil(async () => {
           const among = alive()
           const node = among[number % among.length]!
           const res = await call(node, 'POST', jobId(number), JOB).catch(() => undefined)
@@ -145,7 +145,7 @@
       }
       writer.stop()
       const open = new Set(Array.from({ length: JOBS }, (_, each) => jobId(each + 1)))
-      const done = await until(async () => {
+      const done = await waitUntil(async () => {
         for (const id of open) {
           const { state } = await call(alive()[0]!, 'GET', id)
           if (state === 'completed') open.delete(id)
@@ -169,7 +169,7 @@
     async (t) => {
       const { platform, nodes } = await startAll()
       const node = nodes[0]!
-      for (const [index, text] of ['{}', ...NO_TEXT].entries()) {
+      for (const [index, text] of ['{}', ...INVALID_UTF8].entries()) {
         const [open, over] = [jobId(1000 + index), jobId(2000 + index)]
         platform.table.put(intakeKey(QUEUE_NAME, open), text)
         platform.table.put(endedKey(QUEUE_NAME, over), text)
--- a/playground/__tests__/lostOrders.spec.ts
+++ b/playground/__tests__/lostOrders.spec.ts
@@ -10,7 +10,7 @@
 import type { Handler } from '../sim/wire.js'
 
 /** Time that callers allow a job beyond its work, in ms. */
-const ALLOWANCE_MS = 600
+const MAX_START_DELAY_MS = 600
 /** Run time of a task, in ms. */
 const TASK_MS = 50
 /** Unanswered orders are carried out so much later, in ms. */
@@ -72,7 +72,7 @@
 }
 
 /** Hands a job in and returns the time until its last task has begun, in ms. */
-async function begunAfter(
+async function timeToLastStart(
   rig: JobRig,
   owner: RigOwner,
   steps: Parameters<typeof makeJob>[1],
@@ -92,21 +92,21 @@
     it('does not use up the time that callers allow', async (t) => {
       const { rig, owner, target } = await startWarm(t)
       target.losses.set(START, 1)
-      const tookMs = await begunAfter(rig, owner, [{ count: 1 }])
-      t.true(tookMs < ALLOWANCE_MS, `begun after ${Math.round(tookMs)} ms`)
+      const tookMs = await timeToLastStart(rig, owner, [{ count: 1 }])
+      t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('does not hold up the starts behind it', async (t) => {
       const { rig, owner, target } = await startWarm(t)
       target.losses.set(START, 1)
-      const tookMs = await begunAfter(rig, owner, [{ count: 8 }])
-      t.true(tookMs < ALLOWANCE_MS, `begun after ${Math.round(tookMs)} ms`)
+      const tookMs = await timeToLastStart(rig, owner, [{ count: 8 }])
+      t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('runs its task once, also when it is carried out late', async (t) => {
       const { rig, owner, target } = await startWarm(t)
       target.losses.set(START, 2)
-      await begunAfter(rig, owner, [{ count: 4 }])
+      await timeToLastStart(rig, owner, [{ count: 4 }])
       await sleep(LATE_MS * 2)
       t.is(findBrokenPromise(rig.ledger), undefined)
     })
@@ -120,11 +120,14 @@
       await sleep(IDLE_POLL_MS)
       target.losses.set(POLL, 1)
       while (target.losses.get(POLL) !== 0) await sleep(1)
-      const tookMs = await begunAfter(rig, owner, [
+      const tookMs = await timeToLastStart(rig, owner, [
         { count: 1 },
         { count: 1, after: [0] },
       ])
-      t.true(tookMs < ALLOWANCE_MS + TASK_MS, `begun after ${Math.round(tookMs)} ms`)
+      t.true(
+        tookMs < MAX_START_DELAY_MS + TASK_MS,
+        `begun after ${Math.round(tookMs)} ms`,
+      )
     })
   })
 })
--- a/playground/__tests__/processLife.spec.ts
+++ b/playground/__tests__/processLife.spec.ts
@@ -24,7 +24,7 @@
 import type { SimPlatform } from '../sim/wireServer.js'
 
 /** Longest wait for something that a busy machine does late, in ms. */
-const PATIENCE_MS = 60_000
+const WAIT_TIMEOUT_MS = 60_000
 
 /** Makes the loading of the program take long, and says when it has begun. */
 const SLOW_LOADING = `
@@ -60,11 +60,11 @@
   child.exitCode !== null || child.signalCode !== null
 
 /** Waits until something holds of a node; in vain when the node is gone. */
-async function until(
+async function waitUntil(
   node: NodeProcess,
   holds: () => boolean | Promise<boolean>,
 ): Promise<boolean> {
-  const endsAt = Date.now() + PATIENCE_MS
+  const endsAt = Date.now() + WAIT_TIMEOUT_MS
   while (Date.now() < endsAt) {
     const gone = isGone(node)
     if (await holds()) return true
@@ -82,9 +82,9 @@
 
 /** Whether the node serves in the end, without having ended. */
 const becomesReady = (node: NodeProcess): Promise<boolean> =>
-  until(node, () => isReady(node))
+  waitUntil(node, () => isReady(node))
 
-const has = (node: NodeProcess, event: string): boolean =>
+const hasLogged = (node: NodeProcess, event: string): boolean =>
   node.output().includes(`"name":"${event}"`)
 
 /** Builds the program as it is deployed; the arguments that run it with slow loading. */
@@ -102,10 +102,10 @@
     const platform = await startPlatform()
     const program = slowProgram()
     const node = await startNodeProcess(platform, 'n1', 'h1', { program })
-    t.true(await until(node, () => node.output().includes('loading')))
+    t.true(await waitUntil(node, () => node.output().includes('loading')))
     node.child.kill('SIGHUP')
     t.true(await becomesReady(node))
-    t.true(await until(node, () => has(node, 'settingsReloaded')))
+    t.true(await waitUntil(node, () => hasLogged(node, 'settingsReloaded')))
     await node.kill()
     await platform.close()
   })
@@ -114,9 +114,9 @@
     const platform = await startPlatform()
     const program = slowProgram()
     const node = await startNodeProcess(platform, 'n1', 'h1', { program })
-    t.true(await until(node, () => node.output().includes('loading')))
+    t.true(await waitUntil(node, () => node.output().includes('loading')))
     node.child.kill('SIGTERM')
-    t.true(await until(node, () => isGone(node)))
+    t.true(await waitUntil(node, () => isGone(node)))
     t.is(node.child.exitCode, 0)
     await platform.close()
   })
@@ -126,11 +126,11 @@
     const node = await startNodeProcess(platform, 'n1', 'h1')
     t.true(await becomesReady(node))
     node.child.kill('SIGTERM')
-    t.true(await until(node, () => has(node, 'kernelStopping')))
+    t.true(await waitUntil(node, () => hasLogged(node, 'kernelStopping')))
     node.child.kill('SIGTERM')
-    t.true(await until(node, () => isGone(node)))
+    t.true(await waitUntil(node, () => isGone(node)))
     t.is(node.child.exitCode, 0)
-    t.true(has(node, 'kernelStopped'))
+    t.true(hasLogged(node, 'kernelStopped'))
     await platform.close()
   })
 
@@ -144,7 +144,7 @@
         await new Promise<void>((resolve) => other!.listen(Number(port), host, resolve))
       },
     })
-    t.true(await until(node, () => has(node, 'serviceFailed')))
+    t.true(await waitUntil(node, () => hasLogged(node, 'serviceFailed')))
     await new Promise((resolve) => other!.close(resolve))
     t.true(await becomesReady(node))
     await node.kill()
@@ -167,7 +167,7 @@
       prepare: (file) => renameSync(file, `${file}.later`),
     })
     const { settingsFile } = node
-    t.true(await until(node, () => has(node, 'settingsRejected')))
+    t.true(await waitUntil(node, () => hasLogged(node, 'settingsRejected')))
     writeFileSync(settingsFile, readFileSync(`${settingsFile}.later`))
     t.true(await becomesReady(node))
     await node.kill()
--- a/playground/__tests__/thinLink.spec.ts
+++ b/playground/__tests__/thinLink.spec.ts
@@ -10,11 +10,11 @@
  * links of 200 instead of 2 Mbit/s the same day broke no rule.
  */
 import { describe, it } from '../../test/describe.js'
-import { isReady, until } from '../../test/nodeProbe.js'
+import { isReady, waitUntil } from '../../test/nodeProbe.js'
 import { encodeJob, endedKey, intakeKey, jobSchema } from '../../src/jobs/index.js'
 import { startNodeProcess } from '../sim/nodeProcess.js'
 import { ONE_QUEUE, QUEUE_NAME, QUEUE_SERVICE } from '../sim/oneQueue.js'
-import { openThinLink } from '../sim/thinLink.js'
+import { openRateLimitedLink } from '../sim/rateLimitedLink.js'
 import { startSimPlatform } from '../sim/wireServer.js'
 import type { SimPlatform } from '../sim/wireServer.js'
 
@@ -54,12 +54,12 @@
       const job = jobOf(number)
       platform.table.put(intakeKey(QUEUE_NAME, job.id), encodeJob(job))
     }
-    const link = await openThinLink(platform.storeAddress, LINK_MBPS)
+    const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
     const thin = { ...platform, storeAddress: link.address }
     const node = await startNodeProcess(thin, 'n1', 'h1')
-    t.true(await until(() => isReady(node)))
+    t.true(await waitUntil(() => isReady(node)))
     const first = platform.ledger.entries.length
-    t.true(await until(() => platform.ledger.entries.length > first + 2 * count - 1))
+    t.true(await waitUntil(() => platform.ledger.entries.length > first + 2 * count - 1))
     const took = node.output().match(/"ownershipTaken"[^\n]*"service":"one"/g) ?? []
     t.is(took.length, 1, 'it has kept the service meanwhile')
     await node.kill()
@@ -70,26 +70,26 @@
   it('reads nothing of what is over', async (t) => {
     const platform = await startPlatform()
     const before = await startNodeProcess(platform, 'n1', 'h1')
-    t.true(await until(() => isReady(before)))
+    t.true(await waitUntil(() => isReady(before)))
     const count = 200
     for (let number = 1; number <= count; number++) {
       const job = jobOf(number)
       platform.table.put(intakeKey(QUEUE_NAME, job.id), encodeJob(job))
     }
     const numbers = Array.from({ length: count }, (_, each) => each + 1)
-    t.true(await until(() => numbers.every((number) => isOver(platform, number))))
+    t.true(await waitUntil(() => numbers.every((number) => isOver(platform, number))))
     await before.kill()
     const open = jobOf(count + 1)
     platform.table.put(intakeKey(QUEUE_NAME, open.id), encodeJob(open))
-    const link = await openThinLink(platform.storeAddress, LINK_MBPS)
+    const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
     const node = await startNodeProcess(
       { ...platform, storeAddress: link.address },
       'n2',
       'h1',
     )
     const started = /"ownerStarted"[^\n]*"service":"one"[^\n]*"jobs":1[,}]/
-    t.true(await until(() => started.test(node.output())))
-    t.true(await until(() => isOver(platform, count + 1)))
+    t.true(await waitUntil(() => started.test(node.output())))
+    t.true(await waitUntil(() => isOver(platform, count + 1)))
     await node.kill()
     link.close()
     await platform.close()
--- a/playground/__tests__/weakOwner.spec.ts
+++ b/playground/__tests__/weakOwner.spec.ts
@@ -8,14 +8,14 @@
  * Evidence: `ownerStarted` 6.4 to 11 s after `ownershipTaken`, and the first start after that.
  */
 import { describe, it } from '../../test/describe.js'
-import { until } from '../../test/nodeProbe.js'
+import { waitUntil } from '../../test/nodeProbe.js'
 import { encodeJob, endedKey, intakeKey, jobSchema } from '../../src/jobs/index.js'
 import type { JobSpec } from '../../src/jobs/index.js'
 import { sleep } from '../../src/shared/index.js'
-import { giveLittleProcessor } from '../sim/littleProcessor.js'
+import { throttleCpu } from '../sim/cpuThrottle.js'
 import { startNodeProcess } from '../sim/nodeProcess.js'
 import { QUEUE_HOST } from '../sim/oneQueue.js'
-import { openThinLink } from '../sim/thinLink.js'
+import { openRateLimitedLink } from '../sim/rateLimitedLink.js'
 import { startSimPlatform } from '../sim/wireServer.js'
 import type { SimPlatform } from '../sim/wireServer.js'
 
@@ -27,7 +27,7 @@
  * Longest time from the start of the nodes to the first start of a task of each service, in ms.
  * The users ask that a site serves again 12 s after its machines are back.
  */
-const SERVED_MS = 12_000
+const MAX_FIRST_START_MS = 12_000
 
 const queuesOf = (service: string): string[] => [`${service}-1`, `${service}-2`]
 
@@ -95,12 +95,12 @@
 
 /** A node behind a thin link that runs and owns nothing yet. */
 async function startWeakNode(platform: SimPlatform, name: string) {
-  const link = await openThinLink(platform.storeAddress, LINK_MBPS)
+  const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
   const thin = { ...platform, storeAddress: link.address }
   const node = await startNodeProcess(thin, name, 'h1')
-  const isUp = await until(() => node.output().includes('"nodesSeen"'))
+  const isUp = await waitUntil(() => node.output().includes('"nodesSeen"'))
   // From here on: reading the program's files would take most of the time that is measured.
-  const processor = giveLittleProcessor(node.child, PROCESSOR_SHARE)
+  const processor = throttleCpu(node.child, PROCESSOR_SHARE)
   return {
     isUp,
     output: node.output,
@@ -136,11 +136,11 @@
     }
     t.log(Object.fromEntries(servedMs))
     for (const service of SERVICES)
-      t.true((servedMs.get(service) ?? Infinity) < SERVED_MS)
+      t.true((servedMs.get(service) ?? Infinity) < MAX_FIRST_START_MS)
     const all = [...jobs.values()].flat()
     const isOver = (job: JobSpec): boolean =>
       platform.table.get(endedKey(job.queue, job.id)) !== undefined
-    t.true(await until(() => all.every(isOver)))
+    t.true(await waitUntil(() => all.every(isOver)))
     t.is(entries.filter(({ what }) => what === 'start').length, all.length)
     for (const node of nodes)
       t.log(node.output().match(/"name":"(ownership\w+|ownerStarted|takeover\w+)"/g))
--- a/playground/sim/cloudHandlers.ts
+++ b/playground/sim/cloudHandlers.ts
@@ -28,7 +28,7 @@
       if (!vm || !pools.includes(String(body.pool))) return [400]
       if (vm.pool === body.pool) return [200, {}]
       if (vm.state !== 'up') return [409, { reason: 'busy' }]
-      fleet.takeAway(vm, 'moving', String(body.pool))
+      fleet.takeOffline(vm, 'moving', String(body.pool))
       return [200, {}]
     },
     'POST /machine-upkeep'({ body }) {
@@ -39,7 +39,7 @@
         return [200, {}]
       if (vm.state !== 'up') return [409, { reason: 'busy' }]
       maintained.push({ vm: vm.name, wave })
-      fleet.takeAway(vm, 'upkeep', vm.pool)
+      fleet.takeOffline(vm, 'upkeep', vm.pool)
       return [200, {}]
     },
   }
--- a/playground/sim/littleProcessor.ts
+++ b/playground/sim/cpuThrottle.ts
@@ -5,10 +5,10 @@
 import type { ChildProcess } from 'node:child_process'
 
 /** Length of a turn, in ms: a host gives its guests the core in slices of this order. */
-const TURN_MS = 100
+const PERIOD_MS = 100
 
 /** The share, while it is kept. */
-export interface LittleProcessor {
+export interface CpuThrottle {
   /** Lets the process run freely again. */
   close(): void
 }
@@ -17,15 +17,15 @@
  * Starts stopping the process.
  * @param share part of each turn in which it runs
  */
-export function giveLittleProcessor(child: ChildProcess, share: number): LittleProcessor {
+export function throttleCpu(child: ChildProcess, share: number): CpuThrottle {
   let stopTimer: NodeJS.Timeout | undefined
-  const turn = setInterval(() => {
+  const period = setInterval(() => {
     child.kill('SIGCONT')
-    stopTimer = setTimeout(() => child.kill('SIGSTOP'), TURN_MS * share)
-  }, TURN_MS)
+    stopTimer = setTimeout(() => child.kill('SIGSTOP'), PERIOD_MS * share)
+  }, PERIOD_MS)
   return {
     close() {
-      clearInterval(turn)
+      clearInterval(period)
       clearTimeout(stopTimer)
       child.kill('SIGCONT')
     },
--- a/playground/sim/thinLink.ts
+++ b/playground/sim/rateLimitedLink.ts
@@ -10,23 +10,23 @@
 const STEP_MS = 10
 
 /** The proxy, while it runs. */
-export interface ThinLink {
+export interface RateLimitedLink {
   address: string
   close(): void
 }
 
 /** Bytes that wait for their turn; each connection keeps its order. */
-function createPipe(bytesPerStep: number): (to: Socket, data: Buffer) => void {
+function createRateLimiter(bytesPerStep: number): (to: Socket, data: Buffer) => void {
   const waiting: { to: Socket; data: Buffer }[] = []
   const timer = setInterval(() => {
     let left = bytesPerStep
     while (left > 0 && waiting[0]) {
       const { to, data } = waiting[0]
-      const some = data.subarray(0, left)
-      if (!to.destroyed) to.write(some)
-      left -= some.length
-      if (some.length === data.length) waiting.shift()
-      else waiting[0].data = data.subarray(some.length)
+      const chunk = data.subarray(0, left)
+      if (!to.destroyed) to.write(chunk)
+      left -= chunk.length
+      if (chunk.length === data.length) waiting.shift()
+      else waiting[0].data = data.subarray(chunk.length)
     }
   }, STEP_MS)
   timer.unref()
@@ -34,17 +34,20 @@
 }
 
 /** Opens the proxy. */
-export async function openThinLink(to: string, mbps: number): Promise<ThinLink> {
+export async function openRateLimitedLink(
+  to: string,
+  mbps: number,
+): Promise<RateLimitedLink> {
   const [host = HOST, port] = to.split(':')
   const bytesPerStep = (mbps * 1e6 * STEP_MS) / 8 / 1000
-  const sendUp = createPipe(bytesPerStep)
-  const sendDown = createPipe(bytesPerStep)
+  const sendUp = createRateLimiter(bytesPerStep)
+  const sendDown = createRateLimiter(bytesPerStep)
   const sockets = new Set<Socket>()
-  const server = createServer((near) => {
-    const far = connect(Number(port), host)
+  const server = createServer((client) => {
+    const upstream = connect(Number(port), host)
     for (const [from, other, send] of [
-      [near, far, sendUp],
-      [far, near, sendDown],
+      [client, upstream, sendUp],
+      [upstream, client, sendDown],
     ] as const) {
       sockets.add(from)
       from.on('data', (data: Buffer) => send(other, data))
--- a/playground/sim/rowTable.ts
+++ b/playground/sim/rowTable.ts
@@ -51,7 +51,7 @@
   version(): number
 }
 
-const textOf = ({ table, part, key }: RowKey): string =>
+const encodeKey = ({ table, part, key }: RowKey): string =>
   JSON.stringify([table, part, key])
 
 /** Creates an empty table without faults. */
@@ -61,7 +61,7 @@
   const history = new Map<string, RowChange[]>()
   let compactedAt = 0
   let version = 0
-  const wakeUps: (() => void)[] = []
+  const waiters: (() => void)[] = []
   const faults: StoreFaults = {
     down: false,
     broken: false,
@@ -74,11 +74,11 @@
     random: () => 0.5,
   }
 
-  const noteChange = (change: RowChange): void => {
+  const recordChange = (change: RowChange): void => {
     const changes = history.get(change.table)
     if (changes) changes.push(change)
     else history.set(change.table, [change])
-    for (const wake of wakeUps.splice(0)) wake()
+    for (const wake of waiters.splice(0)) wake()
   }
 
   /** Changes of a table after a version; looked for from the newest, since few are new. */
@@ -91,22 +91,22 @@
 
   const put = (key: RowKey, value: string, at: number): void => {
     const row = { table: key.table, part: key.part, key: key.key, value, version: at }
-    rows.set(textOf(key), row)
-    noteChange(row)
+    rows.set(encodeKey(key), row)
+    recordChange(row)
   }
 
   const remove = (key: RowKey, at: number): void => {
-    if (!rows.delete(textOf(key))) return
+    if (!rows.delete(encodeKey(key))) return
     const { table, part, key: name } = key
-    noteChange({ table, part, key: name, value: undefined, version: at })
+    recordChange({ table, part, key: name, value: undefined, version: at })
   }
 
   function apply(tx: RowTransaction): RowCommit {
     const holds = tx.conditions.every(
-      (each) => (rows.get(textOf(each))?.version ?? 0) === each.version,
+      (each) => (rows.get(encodeKey(each))?.version ?? 0) === each.version,
     )
     if (!holds) {
-      const current = tx.conditions.flatMap((each) => rows.get(textOf(each)) ?? [])
+      const current = tx.conditions.flatMap((each) => rows.get(encodeKey(each)) ?? [])
       return { committed: false, current }
     }
     version++
@@ -167,7 +167,7 @@
       const since = () => changesAfter(table, after)
       const endsAt = performance.now() + waitMs
       while (since().length === 0 && performance.now() < endsAt) {
-        const changed = new Promise<void>((resolve) => wakeUps.push(resolve))
+        const changed = new Promise<void>((resolve) => waiters.push(resolve))
         await Promise.race([changed, sleep(endsAt - performance.now())])
       }
       return ok({ changes: since(), version })
@@ -186,7 +186,7 @@
       version++
       remove(key, version)
     },
-    get: (key) => rows.get(textOf(key)),
+    get: (key) => rows.get(encodeKey(key)),
     rows: (table) => [...rows.values()].filter((row) => row.table === table),
     parts: () => [...new Set([...rows.values()].map(({ part }) => part))].sort(),
     compact() {
--- a/playground/sim/simFleet.ts
+++ b/playground/sim/simFleet.ts
@@ -22,7 +22,7 @@
 }
 
 /** A VM that had its maintenance in a wave. */
-export interface Maintained {
+export interface MaintenanceRecord {
   vm: string
   wave: number
 }
@@ -30,19 +30,19 @@
 /** The VMs, and what happens to them. */
 export interface SimFleet {
   vms: SimVm[]
-  maintained: Maintained[]
+  maintained: MaintenanceRecord[]
   /** Adds a VM on which nothing runs yet. */
   add(pool: string, hall: string, capacity: Resources): SimVm
   /** Writes the row of the target on a VM. */
-  beat(vm: SimVm): void
+  sendHeartbeat(vm: SimVm): void
   /** Changes what the list shows of a VM, at once. */
   list(vm: SimVm, listing: Listing): void
   /** Starts a new life on a VM, under `id` or, by default, a new id. */
-  begin(vm: SimVm, id?: string): void
+  startTarget(vm: SimVm, id?: string): void
   /** Ends the life on a VM. */
-  end(vm: SimVm): void
+  endTarget(vm: SimVm): void
   /** Ends the life on a VM, and starts the next one in `pool` after a while. */
-  takeAway(vm: SimVm, state: SimVm['state'], pool: string): void
+  takeOffline(vm: SimVm, state: SimVm['state'], pool: string): void
   close(): void
 }
 
@@ -56,11 +56,11 @@
   const { table, ledger } = opts
   const vms: SimVm[] = []
   const timers = new Set<NodeJS.Timeout>()
-  let lives = 0
+  let incarnations = 0
 
   const rowOf = (id: string): RowKey => ({ table: 'servers', part: '', key: id })
 
-  const beat = (vm: SimVm): void => {
+  const sendHeartbeat = (vm: SimVm): void => {
     const { target, capacity } = vm
     if (!target || vm.state !== 'up' || vm.listing === 'none') return
     const value = {
@@ -76,18 +76,18 @@
   }
 
   const nextId = (): string => {
-    lives++
-    return `i-${lives.toString(16).padStart(8, '0')}`
+    incarnations++
+    return `i-${incarnations.toString(16).padStart(8, '0')}`
   }
 
-  const begin = (vm: SimVm, id = nextId()): void => {
+  const startTarget = (vm: SimVm, id = nextId()): void => {
     vm.target = createSimTarget({ id, capacity: vm.capacity, ledger })
     vm.state = 'up'
     vm.listing = 'ready'
-    beat(vm)
+    sendHeartbeat(vm)
   }
 
-  const end = (vm: SimVm): void => {
+  const endTarget = (vm: SimVm): void => {
     if (!vm.target) return
     vm.target.crash()
     table.remove(rowOf(vm.target.id))
@@ -116,21 +116,21 @@
       vms.push(vm)
       return vm
     },
-    beat,
+    sendHeartbeat,
     list(vm, listing) {
       vm.listing = listing
       if (listing === 'none' && vm.target) table.remove(rowOf(vm.target.id))
-      else beat(vm)
+      else sendHeartbeat(vm)
     },
-    begin,
-    end,
-    takeAway(vm, state, pool) {
-      end(vm)
+    startTarget,
+    endTarget,
+    takeOffline(vm, state, pool) {
+      endTarget(vm)
       vm.state = state
       vm.pool = pool
       const timer = setTimeout(() => {
         timers.delete(timer)
-        begin(vm)
+        startTarget(vm)
       }, opts.awayMs)
       timers.add(timer)
     },
--- a/playground/sim/simLinks.ts
+++ b/playground/sim/simLinks.ts
@@ -31,7 +31,7 @@
 
 function createSimLink(find: () => SimTarget | undefined): TargetLink {
   /** Carries an order out as the faults of the target say. */
-  async function order<T>(timeoutMs: number, act: (target: SimTarget) => T) {
+  async function execute<T>(timeoutMs: number, action: (target: SimTarget) => T) {
     await sleep(1)
     const target = find()
     if (!target) return err(orderError('gone', 'another life answered'))
@@ -45,18 +45,18 @@
       setTimeout(() => {
         // The target may have restarted in the meantime: the late order reaches its new life.
         const current = find()
-        if (current && !current.faults.silent) act(current)
+        if (current && !current.faults.silent) action(current)
       }, lateMs).unref()
       return unanswered()
     }
-    const answer = act(target)
+    const answer = action(target)
     await sleep(target.faults.delayMs)
     return mute ? unanswered() : ok(answer)
   }
 
   return {
     async start(each, timeoutMs) {
-      const res = await order(timeoutMs, (target) => ({
+      const res = await execute(timeoutMs, (target) => ({
         clockMs: target.clockMs(),
         verdict: target.start({
           task: each.task,
@@ -74,22 +74,22 @@
       )
     },
     stop: ({ task, run, token }, timeoutMs) =>
-      order(timeoutMs, (target) => target.stop(task, run, token)),
+      execute(timeoutMs, (target) => target.stop(task, run, token)),
     pace: ({ task, run, percent, token }, timeoutMs) =>
-      order(timeoutMs, (target) => target.pace(task, run, percent, token)),
+      execute(timeoutMs, (target) => target.pace(task, run, percent, token)),
     async sync({ token, ackedSeq, leaseUntilMs, waitMs }, timeoutMs) {
       const hold = { token, lastSeen: ackedSeq, untilMs: leaseUntilMs }
       if (waitMs > 0) {
-        const first = await order(timeoutMs, (target) => target.hold(hold))
+        const first = await execute(timeoutMs, (target) => target.sync(hold))
         if (first.isErr()) return err(first.error)
         const life = find()
         await life?.waitForEnd(waitMs)
         if (find() !== life) return err(orderError('unanswered', 'connection reset'))
       }
-      const res = await order(timeoutMs, (target) => ({
+      const res = await execute(timeoutMs, (target) => ({
         lifeStartMs: target.lifeStartMs,
         clockMs: target.clockMs(),
-        report: target.hold(hold),
+        report: target.sync(hold),
       }))
       if (res.isErr()) return err(res.error)
       const { lifeStartMs, clockMs, report } = res.value
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -84,7 +84,7 @@
 }
 
 /** How far a run has got, in percent; tasks that last are at work at once. */
-function percentOf({ spec, startedAt, takesMs }: ActiveRun): number {
+function progressPercent({ spec, startedAt, takesMs }: ActiveRun): number {
   if (spec.ms === 0) return 100
   return Math.min(100, Math.floor((100 * (monotonicMs() - startedAt)) / takesMs))
 }
@@ -110,7 +110,7 @@
   stop(task: string, run: number, token: number): boolean
   pace(task: string, run: number, percent: number, token: number): boolean
   /** Undefined when the token is fenced. */
-  hold(order: {
+  sync(order: {
     token: number
     lastSeen: number
     untilMs: number | undefined
@@ -148,7 +148,7 @@
   let leaseUntil = 0
   let leaseTimer: NodeJS.Timeout | undefined
   let usedCpu = 0
-  let dead = false
+  let hasCrashed = false
   const waiters: (() => void)[] = []
   const faults: TargetFaults = {
     silent: false,
@@ -164,36 +164,36 @@
 
   const clockMs = (): number => Math.floor(monotonicMs() - startedAt) + initialClockMs
 
-  const note = (what: LedgerEvent, task: string, run: number): void => {
+  const record = (what: LedgerEvent, task: string, run: number): void => {
     const entry = { at: monotonicMs(), what, task, run, target: id }
     ledger.entries.push(entry)
     ledger.watch?.(entry)
   }
 
-  const watchEnds = (what: 'listed' | 'noted', some: ReportedEnd[]): void => {
+  const notifyWatcher = (what: 'listed' | 'noted', some: ReportedEnd[]): void => {
     for (const { task, run } of some) {
       ledger.watch?.({ at: monotonicMs(), what, task, run, target: id })
     }
   }
 
-  const forgetEnds = (lastSeen: number): void => {
-    watchEnds(
+  const acknowledgeEnds = (lastSeen: number): void => {
+    notifyWatcher(
       'noted',
       ends.filter(({ seq }) => seq <= lastSeen),
     )
     ends = ends.filter(({ seq }) => seq > lastSeen)
-    watchEnds('listed', ends)
+    notifyWatcher('listed', ends)
   }
 
   function end(active: ActiveRun, kind: RunEndKind): void {
-    if (dead || runs.get(active.task) !== active) return
+    if (hasCrashed || runs.get(active.task) !== active) return
     clearTimeout(active.timer)
     runs.delete(active.task)
     usedCpu -= active.spec.cpu ?? 0
     lastRun.set(active.task, active.run)
     seq++
     ends.push({ seq, task: active.task, run: active.run, kind, checkpoint: active.saved })
-    note(kind, active.task, active.run)
+    record(kind, active.task, active.run)
     for (const wake of waiters.splice(0)) wake()
   }
 
@@ -214,12 +214,12 @@
   }
 
   function crash(): void {
-    if (dead) return
-    dead = true
+    if (hasCrashed) return
+    hasCrashed = true
     clearTimeout(leaseTimer)
     for (const active of runs.values()) {
       clearTimeout(active.timer)
-      note('killed', active.task, active.run)
+      record('killed', active.task, active.run)
     }
     runs.clear()
     faults.silent = true
@@ -256,7 +256,7 @@
       }
       runs.set(task, active)
       usedCpu += parsed.cpu ?? 0
-      note('start', task, run)
+      record('start', task, run)
       if (parsed.crashMs !== undefined) setTimeout(crash, parsed.crashMs).unref()
       const kind = parsed.fail || faults.failsAll ? 'failed' : 'done'
       if (parsed.ms !== 0 && !faults.hangs) {
@@ -277,21 +277,21 @@
       if (active?.run === run) active.pace = percent
       return true
     },
-    hold({ token, lastSeen, untilMs }) {
+    sync({ token, lastSeen, untilMs }) {
       if (isFenced(token)) return undefined
       if (untilMs !== undefined) extend(untilMs)
-      forgetEnds(lastSeen)
+      acknowledgeEnds(lastSeen)
       const present = [...runs.values()].map((active) => ({
         task: active.task,
         run: active.run,
         checkpoint: active.saved,
-        percent: faults.percent ?? percentOf(active),
+        percent: faults.percent ?? progressPercent(active),
         load: 0,
       }))
       return { runs: present, ends: [...ends] }
     },
     async waitForEnd(ms) {
-      if (dead || ends.length > 0) return
+      if (hasCrashed || ends.length > 0) return
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, ms)
         waiters.push(() => {
--- a/playground/sim/storeHandlers.ts
+++ b/playground/sim/storeHandlers.ts
@@ -4,18 +4,18 @@
 import type { Body, Handler, Reply } from './wire.js'
 
 /** Time after which an unanswered call is cut, in ms: longer than any client waits. */
-const UNANSWERED_MS = 5000
+const UNANSWERED_CUT_MS = 5000
 
 /** A surrogate without its other half, which no text has. */
 const LONE_SURROGATE = /[\uD800-\uDFFF]/u
 /** A byte that no UTF-8 text has. */
-const NO_TEXT = Buffer.from([0xff])
+const INVALID_UTF8_BYTE = Buffer.from([0xff])
 
 /** Each lone surrogate stands for a byte that is no text, in rows of another writer. */
 function encode(text: string): string {
   if (!LONE_SURROGATE.test(text)) return Buffer.from(text, 'utf8').toString('base64')
   const [first, ...more] = text.split(LONE_SURROGATE).map((each) => Buffer.from(each))
-  const bytes = [first!, ...more.flatMap((each) => [NO_TEXT, each])]
+  const bytes = [first!, ...more.flatMap((each) => [INVALID_UTF8_BYTE, each])]
   return Buffer.concat(bytes).toString('base64')
 }
 
@@ -25,7 +25,7 @@
   part: String(row.part ?? ''),
   key: String(row.private_key),
 })
-const fromRow = (row: RowKey & { value?: string | undefined; version: number }) => ({
+const toWireRow = (row: RowKey & { value?: string | undefined; version: number }) => ({
   table: row.table,
   part: row.part,
   private_key: row.key,
@@ -38,7 +38,7 @@
   const failed = async (failure: string): Promise<Reply> => {
     if (failure === 'compacted') return [410]
     if (failure === 'refused') return [503]
-    await sleep(UNANSWERED_MS)
+    await sleep(UNANSWERED_CUT_MS)
     return [500]
   }
   return {
@@ -56,7 +56,7 @@
         removals: ((body.remove ?? []) as Body[]).map(toKey),
       })
       if (res.isErr()) return failed(res.error.failure)
-      if (!res.value.committed) return [412, { rows: res.value.current.map(fromRow) }]
+      if (!res.value.committed) return [412, { rows: res.value.current.map(toWireRow) }]
       return [200, { ver: res.value.version, now_ms: Math.floor(performance.now()) }]
     },
     async 'GET /rows-get'({ query }) {
@@ -70,7 +70,7 @@
       )
       if (res.isErr()) return failed(res.error.failure)
       const limit = Number(query.get('limit') ?? 500)
-      const rows = res.value.rows.slice(0, limit).map(fromRow)
+      const rows = res.value.rows.slice(0, limit).map(toWireRow)
       return [200, { rows, more: res.value.rows.length > limit, ver: res.value.version }]
     },
     async 'GET /rows-parts'({ query }) {
@@ -84,7 +84,7 @@
       const wait = Number(query.get('wait_ms') ?? 0)
       const res = await store.changes(query.get('table') ?? '', after, wait)
       if (res.isErr()) return failed(res.error.failure)
-      return [200, { rows: res.value.changes.map(fromRow), ver: res.value.version }]
+      return [200, { rows: res.value.changes.map(toWireRow), ver: res.value.version }]
     },
   }
 }
--- a/playground/sim/targetHandlers.ts
+++ b/playground/sim/targetHandlers.ts
@@ -5,7 +5,7 @@
 
 /** Answers for the target that runs on a VM now. */
 export function targetHandlers(vm: SimVm): Record<string, Handler> {
-  const guarded =
+  const forCurrentTarget =
     (handler: (target: SimTarget, body: Body) => Reply | Promise<Reply>): Handler =>
     ({ body, headers }) => {
       const { target } = vm
@@ -13,7 +13,7 @@
       return handler(target, body)
     }
   return {
-    'POST /run-start': guarded((target, body) => {
+    'POST /run-start': forCurrentTarget((target, body) => {
       const verdict = target.start({
         task: String(body.task),
         run: Number(body.run),
@@ -25,7 +25,7 @@
       const clock = { clock_ms: target.clockMs() }
       return verdict === 'accepted' ? [200, clock] : [409, { ...clock, reason: verdict }]
     }),
-    'POST /run-stop': guarded((target, body) => {
+    'POST /run-stop': forCurrentTarget((target, body) => {
       const done = target.stop(
         String(body.task),
         Number(body.run),
@@ -33,18 +33,18 @@
       )
       return [done ? 200 : 409, { clock_ms: target.clockMs() }]
     }),
-    'POST /pace': guarded((target, body) => {
+    'POST /pace': forCurrentTarget((target, body) => {
       const { task, run, percent, fencing_token: token } = body
       const done = target.pace(String(task), Number(run), Number(percent), Number(token))
       return [done ? 200 : 409, { clock_ms: target.clockMs() }]
     }),
-    'POST /hold': guarded(async (target, body) => {
+    'POST /hold': forCurrentTarget(async (target, body) => {
       const token = Number(body.fencing_token ?? 0)
       const lastSeen = Number(body.last_seen ?? 0)
       const untilMs = body.until_ms === undefined ? undefined : Number(body.until_ms)
-      target.hold({ token, lastSeen, untilMs })
+      target.sync({ token, lastSeen, untilMs })
       await target.waitForEnd(Number(body.wait_ms ?? 0))
-      const report = target.hold({ token, lastSeen, untilMs })
+      const report = target.sync({ token, lastSeen, untilMs })
       if (!report) return [409, { clock_ms: target.clockMs(), reason: 'fence' }]
       const running = report.runs.map((run) => [
         run.task,
--- a/playground/sim/wire.ts
+++ b/playground/sim/wire.ts
@@ -33,7 +33,7 @@
   return text === '' ? {} : (parseJson(text) as Body | undefined)
 }
 
-async function answer(
+async function handleRequest(
   handlers: Record<string, Handler>,
   req: IncomingMessage,
   res: ServerResponse,
@@ -58,7 +58,7 @@
   handlers: Record<string, Handler>,
   port = 0,
 ): Promise<Server> {
-  const server = createServer((req, res) => void answer(handlers, req, res))
+  const server = createServer((req, res) => void handleRequest(handlers, req, res))
   await new Promise<void>((resolve) => server.listen(port, HOST, resolve))
   return server
 }
--- a/playground/sim/wireServer.ts
+++ b/playground/sim/wireServer.ts
@@ -9,7 +9,7 @@
 import { createRowTable } from './rowTable.js'
 import type { RowTable } from './rowTable.js'
 import { createSimFleet } from './simFleet.js'
-import type { Listing, Maintained, SimVm } from './simFleet.js'
+import type { Listing, MaintenanceRecord, SimVm } from './simFleet.js'
 import type { RunLedger } from './simTarget.js'
 import { storeHandlers } from './storeHandlers.js'
 import { targetHandlers } from './targetHandlers.js'
@@ -26,7 +26,7 @@
   storeAddress: string
   cloudAddress: string
   /** Waves by VM that had its maintenance. */
-  maintained: Maintained[]
+  maintained: MaintenanceRecord[]
   putConfiguration(text: unknown): void
   putWave(id: number, vms: string[], durationS: number, maximum: number): void
   waveStatus(id: number): string | undefined
@@ -64,14 +64,14 @@
     const server = await listen(targetHandlers(vm))
     servers.push(server)
     vm.port = portOf(server)
-    fleet.begin(vm)
+    fleet.startTarget(vm)
   }
   for (const [pool, count] of Object.entries(opts.pools)) {
     for (let each = 0; each < count; each++) {
       await addVm(pool, opts.halls[each % opts.halls.length] ?? 'hall')
     }
   }
-  const heartbeats = setInterval(() => vms.forEach(fleet.beat), HEARTBEAT_MS)
+  const heartbeats = setInterval(() => vms.forEach(fleet.sendHeartbeat), HEARTBEAT_MS)
 
   const operatorRow = (key: string): RowKey => ({ table: 'op', part: '', key })
   return {
@@ -92,10 +92,10 @@
       return row && (JSON.parse(row.value) as { state: string }).state
     },
     crash(vm) {
-      fleet.end(vm)
+      fleet.endTarget(vm)
       vm.state = 'down'
     },
-    revive: fleet.begin,
+    revive: fleet.startTarget,
     list: fleet.list,
     async close() {
       clearInterval(heartbeats)
--- a/playground/soak/clients.ts
+++ b/playground/soak/clients.ts
@@ -2,9 +2,9 @@
 import { errors } from 'undici'
 import type { Dispatcher } from 'undici'
 import { sleep } from '../../src/shared/index.js'
-import type { Calm } from './calm.js'
-import { countEnds } from './jobBook.js'
-import type { JobView } from './jobBook.js'
+import type { DisturbanceTracker } from './disturbances.js'
+import { countEnds } from './jobView.js'
+import type { JobView } from './jobView.js'
 import { DEADLINE_MS } from './nodes.js'
 import type { SoakNode } from './nodes.js'
 import type { Report, RunChecks } from './runChecks.js'
@@ -12,25 +12,25 @@
 /** Host by which clients name all queues. */
 export const QUEUE_HOST = 'q.example'
 /** Attempts to hand a job in, and the longest pause between two, in ms. */
-const MAX_SENDS = 10
+const MAX_SUBMIT_ATTEMPTS = 10
 const MAX_PAUSE_MS = 1000
 /** Pause after an attempt that nothing is known of, in ms. */
-const UNSURE_PAUSE_MS = 200
+const RETRY_PAUSE_MS = 200
 /** A job is known to all nodes so long after it was accepted, in ms. */
-const VISIBLE_MS = 3000
+const VISIBILITY_MS = 3000
 /** A connection that ends so soon after a request was sent may have been ending before. */
-const CROSSED_MS = 200
+const KEEP_ALIVE_RACE_MS = 200
 
 /** What a client heard: a status, or that nothing was sent, or that no answer came. */
-interface Heard {
+interface CallResult {
   status: number | 'not sent' | 'no answer'
   state?: string | undefined
   retryAfterMs?: number
 }
 /** The job was not taken: it never runs. */
-const REJECTIONS: Heard['status'][] = ['not sent', 429, 503]
+const REJECTIONS: CallResult['status'][] = ['not sent', 429, 503]
 /** The job may have been taken: the same id is sent again. */
-const UNSURE: Heard['status'][] = ['no answer', 502, 504]
+const UNKNOWN_OUTCOMES: CallResult['status'][] = ['no answer', 502, 504]
 
 /** What must hold when callers are shown a state. */
 const STATE_CHECKS: Record<string, (job: JobView) => boolean> = {
@@ -42,13 +42,13 @@
     !isLasting && tasks.some((task) => countEnds(task, 'failed') >= queue.maxAttempts),
   cancelled: ({ cancelSentAt }) => cancelSentAt !== undefined,
 }
-const FINAL = ['completed', 'failed', 'cancelled']
+const FINAL_STATES = ['completed', 'failed', 'cancelled']
 
 /** What clients do with a job. */
 export interface Clients {
   /** Sends a job until it is taken or surely is not. */
   submit(job: JobView): Promise<void>
-  ask(job: JobView): Promise<void>
+  queryState(job: JobView): Promise<void>
   cancel(job: JobView): Promise<void>
 }
 
@@ -56,23 +56,28 @@
 export function createClients(opts: {
   nodes: SoakNode[]
   checks: RunChecks
-  calm: Calm
-  /** As `calm`, but for planned stops. */
-  unplanned: Calm
+  disturbances: DisturbanceTracker
+  /** As `disturbances`, but for planned stops. */
+  unplannedDisturbances: DisturbanceTracker
   report: Report
-  note(what: string, more: object): void
+  writeTrace(what: string, more: object): void
 }): Clients {
-  const { nodes, calm, unplanned, report, note } = opts
-  let turn = 0
+  const { nodes, disturbances, unplannedDisturbances, report, writeTrace } = opts
+  let nextNode = 0
 
   /** A request that ended without an answer, against what nodes promise. */
-  function checkSilence(node: SoakNode, what: string, tookMs: number, err: Error): void {
+  function checkMissingReply(
+    node: SoakNode,
+    what: string,
+    tookMs: number,
+    err: Error,
+  ): void {
     const isLate = err instanceof errors.HeadersTimeoutError
-    if (isLate && calm.isCalm() && calm.calmMs() > tookMs) {
+    if (isLate && disturbances.isUndisturbed() && disturbances.undisturbedMs() > tookMs) {
       report('no answer', `${what} at ${node.name} within ${DEADLINE_MS} ms`)
     }
-    const wasCut = !isLate && tookMs > CROSSED_MS && node.isStopping()
-    if (wasCut && unplanned.isCalm()) {
+    const wasCut = !isLate && tookMs > KEEP_ALIVE_RACE_MS && node.isStopping()
+    if (wasCut && unplannedDisturbances.isUndisturbed()) {
       report(
         'cut by a planned stop',
         `${what} at ${node.name} after ${tookMs} ms: ${err}`,
@@ -84,8 +89,8 @@
     method: Dispatcher.HttpMethod,
     { id, queue }: JobView,
     body: string | null = null,
-  ): Promise<Heard> {
-    const node = nodes[turn++ % nodes.length]!
+  ): Promise<CallResult> {
+    const node = nodes[nextNode++ % nodes.length]!
     const what = `${method} ${id}`
     const since = performance.now()
     const headers = { host: QUEUE_HOST, 'content-type': 'application/json' }
@@ -95,15 +100,20 @@
       const text = await res.body.text()
       const { state } = (text === '' ? {} : JSON.parse(text)) as { state?: string }
       const status = res.statusCode
-      note('answer', { call: what, node: node.name, status, state })
+      writeTrace('answer', { call: what, node: node.name, status, state })
       const retryAfterMs = Number(res.headers['retry-after'] ?? 0) * 1000
       return { status, state, retryAfterMs }
     } catch (cause) {
       const err = cause as Error & { code?: string }
       const tookMs = Math.round(performance.now() - since)
-      note('no answer', { call: what, node: node.name, tookMs, reason: err.message })
+      writeTrace('no answer', {
+        call: what,
+        node: node.name,
+        tookMs,
+        reason: err.message,
+      })
       if (err.code === 'ECONNREFUSED') return { status: 'not sent' }
-      checkSilence(node, what, tookMs, err)
+      checkMissingReply(node, what, tookMs, err)
       return { status: 'no answer' }
     }
   }
@@ -126,33 +136,33 @@
     if (!isRight || (shown !== undefined && shown !== state)) {
       report('wrong state', `${job.id} is shown ${state}, before ${shown}`)
     }
-    if (FINAL.includes(state)) job.outcome = state
+    if (FINAL_STATES.includes(state)) job.outcome = state
   }
 
   return {
     async submit(job) {
-      let isUnsure = job.mayBeTaken
-      for (let each = 0; each < MAX_SENDS; each++) {
+      let isOutcomeUnknown = job.mayBeTaken
+      for (let each = 0; each < MAX_SUBMIT_ATTEMPTS; each++) {
         job.mayBeTaken = true
         const { status, retryAfterMs } = await call('POST', job, bodyOf(job))
         if (status === 200) {
           job.acceptedAt ??= performance.now()
           return
         }
-        if (UNSURE.includes(status)) isUnsure = true
+        if (UNKNOWN_OUTCOMES.includes(status)) isOutcomeUnknown = true
         else if (!REJECTIONS.includes(status)) {
           return report('wrong answer', `POST ${job.id}: ${status}`)
         }
-        job.mayBeTaken = isUnsure
-        await sleep(Math.min(MAX_PAUSE_MS, retryAfterMs ?? UNSURE_PAUSE_MS))
+        job.mayBeTaken = isOutcomeUnknown
+        await sleep(Math.min(MAX_PAUSE_MS, retryAfterMs ?? RETRY_PAUSE_MS))
       }
     },
-    async ask(job) {
+    async queryState(job) {
       const shown = job.outcome
       const { status, state } = await call('GET', job)
       if (status === 200) return checkState(job, String(state), shown)
       const knownMs = performance.now() - (job.acceptedAt ?? Infinity)
-      if (status === 410 && knownMs > VISIBLE_MS && calm.isCalm()) {
+      if (status === 410 && knownMs > VISIBILITY_MS && disturbances.isUndisturbed()) {
         report('accepted job unknown', `${job.id} after ${Math.round(knownMs)} ms`)
       }
     },
--- a/playground/soak/faultKinds.ts
+++ b/playground/soak/faultKinds.ts
@@ -8,7 +8,7 @@
 import { foreignEntry } from './foreignEntry.js'
 import type { SoakNode } from './nodes.js'
 import type { Fault } from './plan.js'
-import type { WatchedTarget } from './stillWatch.js'
+import type { WatchedTarget } from './stallDetector.js'
 
 /** A target behind its link. */
 export interface SoakTarget extends WatchedTarget {
@@ -50,8 +50,8 @@
 /** Time from the word in the list to the end of a draining target, in ms. */
 const DRAIN_MS = 2500
 /** Time for which the targets that are left in a pool are bad, in ms. */
-const BAD_MS = 2000
-const SHRUNK_MS = 15_000
+const DEGRADED_MS = 2000
+const SHRINK_MS = 15_000
 
 const pick = <T>(items: readonly T[], { which }: Fault): T => items[which % items.length]!
 
@@ -63,7 +63,12 @@
 
 /** Faults of the store that are switched on, and how it is without them. */
 type StoreSwitches = Pick<StoreFaults, 'delayMs' | 'down' | 'broken' | 'lostShare'>
-const STORE_WELL: StoreSwitches = { delayMs: 0, down: false, broken: false, lostShare: 0 }
+const HEALTHY_STORE: StoreSwitches = {
+  delayMs: 0,
+  down: false,
+  broken: false,
+  lostShare: 0,
+}
 
 const onStore = (
   usualMs: number,
@@ -74,20 +79,20 @@
   begin({ platform: { table } }, { level }) {
     const faults = faultsOf(level)
     Object.assign(table.faults, faults)
-    const switched = Object.entries(STORE_WELL).filter(([key]) => key in faults)
+    const switched = Object.entries(HEALTHY_STORE).filter(([key]) => key in faults)
     return () => Object.assign(table.faults, Object.fromEntries(switched))
   },
 })
 
-type LinkAct = (link: FaultLink, level: number) => Undo | void
+type LinkFault = (link: FaultLink, level: number) => Undo | void
 
-const onStoreLink = (usualMs: number, act: LinkAct): FaultKind => ({
+const onStoreLink = (usualMs: number, act: LinkFault): FaultKind => ({
   group: 'store',
   usualMs,
   begin: ({ nodes }, fault) => act(pick(nodes, fault).storeLink, fault.level),
 })
 
-const onTargetLink = (usualMs: number, act: LinkAct): FaultKind => ({
+const onTargetLink = (usualMs: number, act: LinkFault): FaultKind => ({
   group: 'target',
   usualMs,
   begin: ({ targets }, fault) => act(pick(targets, fault).link, fault.level),
@@ -119,39 +124,39 @@
   },
 })
 
-const planned = (usualMs: number, begin: FaultKind['begin']): FaultKind => ({
+const plannedFault = (usualMs: number, begin: FaultKind['begin']): FaultKind => ({
   group: 'planned',
   usualMs,
   begin,
 })
 
-const restart = (node: SoakNode): Promise<boolean> => {
+const restartNode = (node: SoakNode): Promise<boolean> => {
   node.start()
-  return node.untilReady()
+  return node.waitUntilReady()
 }
 
-const kill = (node: SoakNode): Undo => {
+const killNode = (node: SoakNode): Undo => {
   void node.kill()
-  return () => restart(node)
+  return () => restartNode(node)
 }
 
-const slow: LinkAct = (link, level) => {
+const delayLink: LinkFault = (link, level) => {
   link.delayMs = Math.round(20 + 400 * level)
   return () => (link.delayMs = 0)
 }
 
-const cut: LinkAct = (link, level) => {
+const cutLink: LinkFault = (link, level) => {
   if (level < 0.67) link.cut.add('up')
   if (level > 0.33) link.cut.add('down')
   return () => link.cut.clear()
 }
 
 /** Lives of targets work badly for a while. */
-const spoil = (vms: SimVm[], faults: Partial<TargetFaults>): Undo => {
-  const lives = vms.flatMap(({ target }) => target ?? [])
-  for (const life of lives) Object.assign(life.faults, faults)
-  const well = { failsAll: false, hangs: false, slowness: 1 }
-  return () => lives.forEach((life) => Object.assign(life.faults, well))
+const degrade = (vms: SimVm[], faults: Partial<TargetFaults>): Undo => {
+  const targets = vms.flatMap(({ target }) => target ?? [])
+  for (const target of targets) Object.assign(target.faults, faults)
+  const healthy = { failsAll: false, hangs: false, slowness: 1 }
+  return () => targets.forEach((life) => Object.assign(life.faults, healthy))
 }
 
 const FAILS = { failsAll: true }
@@ -178,34 +183,34 @@
 }
 
 /** Targets that a pool keeps when it shrinks. */
-const keptOf = (vms: SimVm[], { level }: Fault): SimVm[] =>
+const survivorsOf = (vms: SimVm[], { level }: Fault): SimVm[] =>
   vms.slice(0, level < 0.6 ? 1 : 2)
 
 const shrink = (vms: SimVm[], ctx: FaultContext, fault: Fault): Undo =>
-  crash(vms.slice(keptOf(vms, fault).length), ctx)
+  crash(vms.slice(survivorsOf(vms, fault).length), ctx)
 
 /** Lets a target drain, end, and come back as another life. */
 function drain(vm: SimVm, ctx: FaultContext): Undo | void {
-  const life = vm.target
-  if (!life) return
+  const target = vm.target
+  if (!target) return
   ctx.platform.list(vm, 'draining')
-  ctx.draining.set(life.id, performance.now())
+  ctx.draining.set(target.id, performance.now())
   return async () => {
     await sleep(DRAIN_MS)
-    if (vm.target === life) await crash([vm], ctx)()
+    if (vm.target === target) await crash([vm], ctx)()
   }
 }
 
 /** A target's entry goes, or is overwritten with `text`, while its life goes on. */
 function unlist(vm: SimVm, { platform }: FaultContext, text?: string): Undo | void {
-  const life = vm.target
-  if (!life || vm.listing !== 'ready') return
+  const target = vm.target
+  if (!target || vm.listing !== 'ready') return
   platform.list(vm, 'none')
   if (text !== undefined) {
-    platform.table.put({ table: 'servers', part: '', key: life.id }, text)
+    platform.table.put({ table: 'servers', part: '', key: target.id }, text)
   }
   return () => {
-    if (vm.target === life && vm.listing === 'none') platform.list(vm, 'ready')
+    if (vm.target === target && vm.listing === 'none') platform.list(vm, 'ready')
   }
 }
 
@@ -215,13 +220,13 @@
     node.signal('SIGSTOP')
     return () => node.signal('SIGCONT')
   }),
-  nodeKill: onNode(1500, kill),
-  nodeAway: onNode(12_000, kill),
+  nodeKill: onNode(1500, killNode),
+  nodeAway: onNode(12_000, killNode),
   allNodesKill: {
     group: 'node',
     usualMs: 500,
     begin({ nodes }) {
-      const undos = nodes.map(kill)
+      const undos = nodes.map(killNode)
       return () => Promise.all(undos.map((undo) => undo()))
     },
   },
@@ -246,42 +251,44 @@
       return () => table.faults.refusedParts.delete(part)
     },
   },
-  storeLinkSlow: onStoreLink(3000, slow),
+  storeLinkSlow: onStoreLink(3000, delayLink),
   storeLinkReset: onStoreLink(100, (link) => link.reset()),
   storeLinkSilent: onStoreLink(100, (link) => link.silence()),
-  storeLinkCut: onStoreLink(3000, cut),
-  targetFails: onTarget(5000, (vm) => spoil([vm], FAILS)),
-  targetHangs: onTarget(4000, (vm) => spoil([vm], HANGS)),
-  targetSlow: onTarget(5000, (vm, _ctx, fault) => spoil([vm], slowness(fault))),
+  storeLinkCut: onStoreLink(3000, cutLink),
+  targetFails: onTarget(5000, (vm) => degrade([vm], FAILS)),
+  targetHangs: onTarget(4000, (vm) => degrade([vm], HANGS)),
+  targetSlow: onTarget(5000, (vm, _ctx, fault) => degrade([vm], slowness(fault))),
   targetCrash: onTarget(3000, (vm, ctx) => crash([vm], ctx)),
   targetDrains: onTarget(1500, drain),
   targetUnlisted: onTarget(4000, (vm, ctx) => unlist(vm, ctx)),
-  targetLinkSlow: onTargetLink(3000, slow),
+  targetLinkSlow: onTargetLink(3000, delayLink),
   targetLinkReset: onTargetLink(100, (link) => link.reset()),
   targetLinkSilent: onTargetLink(100, (link) => link.silence()),
-  targetLinkCut: onTargetLink(2500, cut),
-  poolFails: onPool(2500, (vms) => spoil(vms, FAILS)),
-  poolHangs: onPool(2500, (vms) => spoil(vms, HANGS)),
-  poolSlow: onPool(4000, (vms, _ctx, fault) => spoil(vms, slowness(fault))),
-  poolShrinks: onPool(SHRUNK_MS, shrink),
-  poolShrinksToBad: onPool(SHRUNK_MS, (vms, ctx, fault) => {
-    const well = spoil(keptOf(vms, fault), fault.which % 3 === 0 ? HANGS : FAILS)
-    setTimeout(well, BAD_MS)
+  targetLinkCut: onTargetLink(2500, cutLink),
+  poolFails: onPool(2500, (vms) => degrade(vms, FAILS)),
+  poolHangs: onPool(2500, (vms) => degrade(vms, HANGS)),
+  poolSlow: onPool(4000, (vms, _ctx, fault) => degrade(vms, slowness(fault))),
+  poolShrinks: onPool(SHRINK_MS, shrink),
+  poolShrinksToBad: onPool(SHRINK_MS, (vms, ctx, fault) => {
+    const well = degrade(survivorsOf(vms, fault), fault.which % 3 === 0 ? HANGS : FAILS)
+    setTimeout(well, DEGRADED_MS)
     return shrink(vms, ctx, fault)
   }),
-  nodeReload: planned(100, ({ nodes }, fault) => pick(nodes, fault).signal('SIGHUP')),
-  nodeStop: planned(1000, ({ nodes }, fault) => {
+  nodeReload: plannedFault(100, ({ nodes }, fault) =>
+    pick(nodes, fault).signal('SIGHUP'),
+  ),
+  nodeStop: plannedFault(1000, ({ nodes }, fault) => {
     const node = pick(nodes, fault)
     const gone = node.stop(fault.level < 0.7 ? 1 : 2)
-    return () => gone.then(() => restart(node))
+    return () => gone.then(() => restartNode(node))
   }),
-  configurationChanges: planned(100, (ctx, fault) => ctx.changeConfiguration(fault)),
-  foreignEntry: planned(4000, ({ platform, trapAddress, pools }, fault) => {
+  configurationChanges: plannedFault(100, (ctx, fault) => ctx.changeConfiguration(fault)),
+  foreignEntry: plannedFault(4000, ({ platform, trapAddress, pools }, fault) => {
     const key = { table: 'servers', part: '', key: `x/${fault.which}.${fault.at}` }
     platform.table.put(key, foreignEntry(fault, pick(pools, fault), trapAddress))
     return () => platform.table.remove(key)
   }),
-  entryOverwritten: planned(3000, (ctx, fault) => {
+  entryOverwritten: plannedFault(3000, (ctx, fault) => {
     const { vm } = pick(ctx.targets, fault)
     return unlist(vm, ctx, foreignEntry(fault, vm.pool, ctx.trapAddress))
   }),
--- a/playground/soak/faultLink.ts
+++ b/playground/soak/faultLink.ts
@@ -7,7 +7,7 @@
 const STEP_MS = 5
 
 /** Way of bytes: towards the server or back to the client. */
-type Way = 'up' | 'down'
+type Direction = 'up' | 'down'
 
 /** The proxy, while it runs. */
 export interface FaultLink {
@@ -16,13 +16,13 @@
   /** Bytes are so late, in ms. */
   delayMs: number
   /** Ways on which bytes are held for as long as they stand here. */
-  cut: Set<Way>
+  cut: Set<Direction>
   /** Breaks all open connections. */
   reset(): void
   /** Nothing passes open connections any more; new ones work. */
   silence(): void
   /** When something was wrong for the last time; now, while something is. */
-  harmedAt(): number
+  lastFaultAt(): number
   close(): void
 }
 
@@ -34,7 +34,7 @@
   isSilent: boolean
 }
 
-function createPipe(to: Socket, way: Way, link: FaultLink): Pipe {
+function createPipe(to: Socket, way: Direction, link: FaultLink): Pipe {
   const pieces: { dueAt: number; data: Buffer | undefined }[] = []
   const isDue = (): boolean =>
     pieces.length > 0 && !link.cut.has(way) && pieces[0]!.dueAt <= performance.now()
@@ -61,10 +61,10 @@
 export async function openFaultLink(toPort: number): Promise<FaultLink> {
   const pipes = new Set<Pipe>()
   const sockets = new Set<Socket>()
-  let harmedAt = -Infinity
-  const noteHarm = (): void => void (harmedAt = performance.now())
+  let lastFaultAt = -Infinity
+  const recordFault = (): void => void (lastFaultAt = performance.now())
 
-  const join = (from: Socket, to: Socket, way: Way): void => {
+  const connectPipe = (from: Socket, to: Socket, way: Direction): void => {
     const pipe = createPipe(to, way, link)
     pipes.add(pipe)
     sockets.add(from)
@@ -77,13 +77,13 @@
     })
     to.on('close', () => pipes.delete(pipe))
   }
-  const server = createServer((near) => {
-    const far = connect(toPort, HOST)
-    join(near, far, 'up')
-    join(far, near, 'down')
+  const server = createServer((client) => {
+    const upstream = connect(toPort, HOST)
+    connectPipe(client, upstream, 'up')
+    connectPipe(upstream, client, 'down')
   })
   const timer = setInterval(() => {
-    if (link.delayMs > 0 || link.cut.size > 0) noteHarm()
+    if (link.delayMs > 0 || link.cut.size > 0) recordFault()
     pipes.forEach((pipe) => pipe.flush())
   }, STEP_MS)
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve))
@@ -95,14 +95,14 @@
     delayMs: 0,
     cut: new Set(),
     reset() {
-      noteHarm()
+      recordFault()
       for (const socket of sockets) socket.resetAndDestroy()
     },
     silence() {
-      noteHarm()
+      recordFault()
       for (const pipe of pipes) pipe.isSilent = true
     },
-    harmedAt: () => harmedAt,
+    lastFaultAt: () => lastFaultAt,
     close() {
       clearInterval(timer)
       server.close()
--- a/playground/soak/jobBook.ts
+++ b/playground/soak/jobView.ts
@@ -66,21 +66,24 @@
   task.ends.filter((end) => end.what === what && (end.isNoted || !noted)).length
 
 /** Whether all tasks of the earlier steps that a task waits for have ended well. */
-export const isTurnOf = ({ tasks, steps }: JobView, { step }: TaskView): boolean =>
+export const areDependenciesDone = (
+  { tasks, steps }: JobView,
+  { step }: TaskView,
+): boolean =>
   tasks.every(
     (other) => !steps[step]!.after.includes(other.step) || countEnds(other, 'done') > 0,
   )
 
 /** Whether a task has used up its attempts as far as its owner may know: the job is over. */
-export const isSpent = ({ tasks, queue, isLasting }: JobView): boolean => {
-  const isHeardFailure = ({ what, isListed }: EndView) => what === 'failed' && isListed
-  const isUsedUp = ({ ends }: TaskView) =>
-    ends.filter(isHeardFailure).length >= queue.maxAttempts
-  return !isLasting && tasks.some(isUsedUp)
+export const hasExhaustedAttempts = ({ tasks, queue, isLasting }: JobView): boolean => {
+  const isReportedFailure = ({ what, isListed }: EndView) => what === 'failed' && isListed
+  const isExhausted = ({ ends }: TaskView) =>
+    ends.filter(isReportedFailure).length >= queue.maxAttempts
+  return !isLasting && tasks.some(isExhausted)
 }
 
 /** Takes a start, an end or the word of an end over from a target. */
-export function noteEntry(task: TaskView, entry: WatchedEntry): void {
+export function recordEntry(task: TaskView, entry: WatchedEntry): void {
   const { what, run, target, at } = entry
   if (what === 'start') {
     task.active = { run, target }
--- a/playground/soak/main.ts
+++ b/playground/soak/main.ts
@@ -32,11 +32,11 @@
   })
 }
 
-const waiting = plans()
+const pending = plans()
 let failed = 0
 
-async function work(): Promise<void> {
-  for (let next = waiting.shift(); next; next = waiting.shift()) {
+async function playPlans(): Promise<void> {
+  for (let next = pending.shift(); next; next = pending.shift()) {
     const [name, plan] = next
     const dir = join(values.dir, name)
     const { failures, ...figures } = await runSoak(plan, dir)
@@ -48,6 +48,6 @@
   }
 }
 
-await Promise.all(Array.from({ length: Number(values.parallel) }, work))
+await Promise.all(Array.from({ length: Number(values.parallel) }, playPlans))
 console.log(`${failed} of the seeds broke a promise; logs: ${values.dir}`)
 process.exitCode = failed === 0 ? 0 : 1
--- a/playground/soak/nodes.ts
+++ b/playground/soak/nodes.ts
@@ -11,9 +11,9 @@
 import type { FaultLink } from './faultLink.js'
 
 /** Time that a process has to stop before it is killed, in ms. */
-const GRACE_MS = 6000
+const STOP_TIMEOUT_MS = 6000
 /** Longest wait for a node to become ready, in ms. */
-const READY_MS = 30_000
+const READY_TIMEOUT_MS = 30_000
 /** Longest wait of a client for an answer, in ms. */
 export const DEADLINE_MS = 3000
 /** Connections that clients keep to a node. */
@@ -33,7 +33,7 @@
   kill(): Promise<void>
   /** Asks it to stop, as often as told, and kills it when it takes too long. */
   stop(times: number): Promise<void>
-  untilReady(): Promise<boolean>
+  waitUntilReady(): Promise<boolean>
   close(): Promise<void>
 }
 
@@ -45,7 +45,7 @@
   withCloud: boolean
   dir: string
   /** A process that nobody ended is gone. */
-  onOwnEnd(name: string, reason: string): void
+  onUnexpectedExit(name: string, reason: string): void
 }): Promise<SoakNode> {
   const { platform, name, dir } = opts
   const storeLink = await openFaultLink(Number(platform.storeAddress.split(':')[1]))
@@ -58,8 +58,8 @@
     bodyTimeout: DEADLINE_MS,
   })
   let child: ChildProcess | undefined
-  let gone = Promise.resolve()
-  let endAsked = false
+  let exited = Promise.resolve()
+  let stopRequested = false
 
   function start(): void {
     if (child) return
@@ -72,24 +72,24 @@
     })
     closeSync(log)
     child = started
-    endAsked = false
-    gone = new Promise((resolve) =>
+    stopRequested = false
+    exited = new Promise((resolve) =>
       started.once('exit', (code, signal) => {
         child = undefined
         resolve()
-        if (endAsked) return
+        if (stopRequested) return
         // Until Node.js itself runs, nothing of the program can take a signal.
         const hadBegun = statSync(logFile).size > size
         if (signal === 'SIGHUP' && !hadBegun) start()
-        else opts.onOwnEnd(name, `code ${code}, signal ${signal}`)
+        else opts.onUnexpectedExit(name, `code ${code}, signal ${signal}`)
       }),
     )
   }
 
   async function kill(): Promise<void> {
-    endAsked = true
+    stopRequested = true
     child?.kill('SIGKILL')
-    await gone
+    await exited
   }
 
   async function isReady(): Promise<boolean> {
@@ -105,22 +105,22 @@
     clients,
     storeLink,
     isUp: () => child !== undefined,
-    isStopping: () => child !== undefined && endAsked,
+    isStopping: () => child !== undefined && stopRequested,
     start,
     signal: (signal) => void child?.kill(signal),
     kill,
     async stop(times) {
-      endAsked = true
+      stopRequested = true
       for (let each = 0; each < times; each++) {
         child?.kill('SIGTERM')
         await sleep(20)
       }
-      const late = setTimeout(() => child?.kill('SIGKILL'), GRACE_MS)
-      await gone
+      const late = setTimeout(() => child?.kill('SIGKILL'), STOP_TIMEOUT_MS)
+      await exited
       clearTimeout(late)
     },
-    async untilReady() {
-      const endsAt = performance.now() + READY_MS
+    async waitUntilReady() {
+      const endsAt = performance.now() + READY_TIMEOUT_MS
       while (performance.now() < endsAt) {
         if (await isReady()) return true
         await sleep(100)
--- a/playground/soak/plan.ts
+++ b/playground/soak/plan.ts
@@ -37,23 +37,23 @@
 export type SoakPlan = z.infer<typeof planSchema>
 
 /** Mean time between two faults of these groups, in ms. */
-const GAP_MS = { target: 2500, pool: 9000, planned: 5000 } as const
+const MEAN_INTERVAL_MS = { target: 2500, pool: 9000, planned: 5000 } as const
 /** Mean time between two waves of maintenance, in ms, and what their draws begin with. */
-const WAVE_GAP_MS = 15_000
-const WAVE_SEED = 2_000_000
+const WAVE_INTERVAL_MS = 15_000
+const WAVE_SEED_OFFSET = 2_000_000
 /**
  * Mean time between two restarts of targets under the same id, in ms, and the seed offset of
  * their own generator, which leaves the other faults of a seed unchanged.
  */
-const RESTART_GAP_MS = 6000
-const RESTART_SEED = 3_000_000
+const RESTART_INTERVAL_MS = 6000
+const RESTART_SEED_OFFSET = 3_000_000
 /** The same of nodes and the store within one series, in ms. */
-const SERIES_GAP_MS = 1200
+const SERIES_INTERVAL_MS = 1200
 /** Series of faults of nodes and the store, and the calm between two, in ms. */
 const SERIES_MS = 7000
-const CALM_MS = 12_000
+const UNDISTURBED_MS = 12_000
 /** Each run begins with a calm stretch, in ms. */
-const FIRST_CALM_MS = 6000
+const INITIAL_UNDISTURBED_MS = 6000
 
 function drawFault(random: Random, groups: FaultGroup[], at: number): Fault {
   const kinds = Object.entries(FAULT_KINDS).filter(([, kind]) =>
@@ -82,13 +82,15 @@
 }
 
 /** Series of faults of nodes and the store, with calm between them. */
-function drawStorms(random: Random, lengthMs: number): Fault[] {
+function drawDisturbedPeriods(random: Random, lengthMs: number): Fault[] {
   const faults: Fault[] = []
-  let from = FIRST_CALM_MS
+  let from = INITIAL_UNDISTURBED_MS
   while (from < lengthMs) {
     const until = Math.min(lengthMs, from + SERIES_MS * (0.5 + random()))
-    faults.push(...drawSeries(random, ['node', 'store'], SERIES_GAP_MS, [from, until]))
-    from = until + CALM_MS * (0.7 + 0.6 * random())
+    faults.push(
+      ...drawSeries(random, ['node', 'store'], SERIES_INTERVAL_MS, [from, until]),
+    )
+    from = until + UNDISTURBED_MS * (0.7 + 0.6 * random())
   }
   return faults
 }
@@ -96,12 +98,12 @@
 /** Draws the plan of a seed; the same seed gives the same plan. */
 export function drawPlan(seed: number, lengthMs: number): SoakPlan {
   const random = createRandom(seed)
-  const groups = Object.entries(GAP_MS) as [FaultGroup, number][]
+  const groups = Object.entries(MEAN_INTERVAL_MS) as [FaultGroup, number][]
   const nodes = 2 + Math.floor(random() * 3)
   const targets = 1 + Math.floor(random() * 4)
   const idleVms = random() < 0.5 ? 0 : 2
-  const waves = createRandom(seed + WAVE_SEED)
-  const restarts = createRandom(seed + RESTART_SEED)
+  const waves = createRandom(seed + WAVE_SEED_OFFSET)
+  const restarts = createRandom(seed + RESTART_SEED_OFFSET)
   return {
     seed,
     nodes,
@@ -111,15 +113,15 @@
     hopelessShare: 0.04,
     lengthMs,
     faults: [
-      ...drawStorms(random, lengthMs),
+      ...drawDisturbedPeriods(random, lengthMs),
       ...groups.flatMap(([group, gapMs]) =>
         drawSeries(random, [group], gapMs, [1000, lengthMs]),
       ),
       // Without control of VMs nobody can carry a wave out.
       ...(idleVms === 0
         ? []
-        : drawSeries(waves, ['wave'], WAVE_GAP_MS, [1000, lengthMs])),
-      ...drawSeries(restarts, ['restart'], RESTART_GAP_MS, [1000, lengthMs]),
+        : drawSeries(waves, ['wave'], WAVE_INTERVAL_MS, [1000, lengthMs])),
+      ...drawSeries(restarts, ['restart'], RESTART_INTERVAL_MS, [1000, lengthMs]),
     ].sort((a, b) => a.at - b.at),
   }
 }
--- a/playground/soak/run.ts
+++ b/playground/soak/run.ts
@@ -4,24 +4,24 @@
 import { sleep } from '../../src/shared/index.js'
 import { createRandom } from '../random.js'
 import { HOST, portOf } from '../sim/wire.js'
-import { createCalm } from './calm.js'
+import { createDisturbanceTracker } from './disturbances.js'
 import { createClients } from './clients.js'
 import { startSoakNode } from './nodes.js'
 import type { SoakPlan } from './plan.js'
-import { playFault } from './playFault.js'
+import { injectFault } from './injectFault.js'
 import { createRunChecks } from './runChecks.js'
 import { configurationOf, HALLS, linkTargets, openTrap, QUEUES } from './setUp.js'
 import { startPlatform } from './setUp.js'
-import { createStillWatch } from './stillWatch.js'
+import { createStallDetector } from './stallDetector.js'
 import { createTraffic } from './traffic.js'
 import { createWaves } from './waves.js'
 
 /** Longest time in which all jobs end once all faults are over, in ms. */
-const SETTLE_MS = 30_000
+const SETTLE_TIMEOUT_MS = 30_000
 /** Time between two looks at all jobs, in ms. */
-const LOOK_MS = 50
+const CHECK_INTERVAL_MS = 50
 /** The traffic draws other numbers than the plan of the same seed. */
-const TRAFFIC_SEED = 1_000_000
+const TRAFFIC_SEED_OFFSET = 1_000_000
 
 /** A promise that did not hold, so many ms after the first job. */
 export interface Failure {
@@ -50,33 +50,33 @@
   writeFileSync(join(dir, 'plan.json'), JSON.stringify(plan, undefined, 2))
   const trace = createWriteStream(join(dir, 'trace.ndjson'))
   const failures: Failure[] = []
-  let beganAt = performance.now()
-  const note = (what: string, more: object): void => {
-    const atMs = Math.round(performance.now() - beganAt)
+  let startedAt = performance.now()
+  const writeTrace = (what: string, more: object): void => {
+    const atMs = Math.round(performance.now() - startedAt)
     const line = { time: new Date().toISOString(), atMs, what, ...more }
     trace.write(JSON.stringify(line) + '\n')
   }
   const report = (promise: string, detail: string): void => {
-    const atMs = Math.round(performance.now() - beganAt)
+    const atMs = Math.round(performance.now() - startedAt)
     failures.push({ promise, detail, atMs })
-    note('failure', { promise, detail })
+    writeTrace('failure', { promise, detail })
   }
 
   const platform = await startPlatform(plan)
   const targets = await linkTargets(platform)
   const trap = await openTrap(report)
-  const random = createRandom(plan.seed + TRAFFIC_SEED)
+  const random = createRandom(plan.seed + TRAFFIC_SEED_OFFSET)
   platform.table.faults.random = random
-  const calm = createCalm()
-  const unplanned = createCalm()
+  const disturbances = createDisturbanceTracker()
+  const unplannedDisturbances = createDisturbanceTracker()
   const isReachable = (id: string): boolean =>
     targets.some(({ vm, isReachable }) => vm.target?.id === id && isReachable())
-  const checks = createRunChecks(calm, isReachable, report)
+  const checks = createRunChecks(disturbances, isReachable, report)
   let runs = 0
   platform.ledger.watch = (entry) => {
     const { what, task, run, target } = entry
     if (what === 'start') runs++
-    if (what !== 'listed') note(what, { task, run, target })
+    if (what !== 'listed') writeTrace(what, { task, run, target })
     checks.onTargetEntry(entry)
   }
 
@@ -87,17 +87,31 @@
       hall: HALLS[each % HALLS.length]!,
       withCloud: plan.idleVms > 0,
       dir,
-      onOwnEnd: (name, reason) => report('node ended by itself', `${name}: ${reason}`),
+      onUnexpectedExit: (name, reason) =>
+        report('node ended by itself', `${name}: ${reason}`),
     })
   const nodes = await Promise.all(Array.from({ length: plan.nodes }, startNode))
-  const ready = await Promise.all(nodes.map((node) => node.untilReady()))
+  const ready = await Promise.all(nodes.map((node) => node.waitUntilReady()))
   if (ready.includes(false)) report('node not ready', JSON.stringify(ready))
 
-  const clients = createClients({ nodes, checks, calm, unplanned, report, note })
+  const clients = createClients({
+    nodes,
+    checks,
+    disturbances,
+    unplannedDisturbances,
+    report,
+    writeTrace,
+  })
   const { jobs, draining } = checks
   const traffic = createTraffic({ random, queues: QUEUES, clients, jobs, plan })
   const isServed = (): boolean => nodes.some((node) => node.isUp())
-  const watch = createStillWatch({ checks, calm, targets, isServed, report })
+  const stallDetector = createStallDetector({
+    checks,
+    disturbances,
+    targets,
+    isServed,
+    report,
+  })
   const pools = QUEUES.map(({ service }) => service)
   const trapAddress = `${HOST}:${portOf(trap)}`
   let version = 1
@@ -117,31 +131,31 @@
     orderWave: waves.orderWave,
   }
 
-  let looked = 0
-  let lookedInCalm = 0
-  const looks = setInterval(() => {
-    looked++
-    if (calm.isCalm()) lookedInCalm++
-    watch.look()
-    waves.look()
-  }, LOOK_MS)
+  let checkCount = 0
+  let undisturbedChecks = 0
+  const checkTimer = setInterval(() => {
+    checkCount++
+    if (disturbances.isUndisturbed()) undisturbedChecks++
+    stallDetector.check()
+    waves.check()
+  }, CHECK_INTERVAL_MS)
 
-  beganAt = performance.now()
+  startedAt = performance.now()
   const played = plan.faults.map(async (fault) => {
     await sleep(fault.at)
-    note('fault', { fault })
-    await playFault(ctx, { calm, unplanned }, fault)
-    note('fault over', { fault })
+    writeTrace('fault', { fault })
+    await injectFault(ctx, { disturbances, unplannedDisturbances }, fault)
+    writeTrace('fault over', { fault })
   })
-  await traffic.work(plan.lengthMs)
+  await traffic.run(plan.lengthMs)
   await Promise.all(played)
-  const left = await traffic.settle(SETTLE_MS)
-  for (const { id } of left) report('accepted job lost', `${id} has no end`)
-  await waves.settle(SETTLE_MS)
+  const unfinished = await traffic.settle(SETTLE_TIMEOUT_MS)
+  for (const { id } of unfinished) report('accepted job lost', `${id} has no end`)
+  await waves.settle(SETTLE_TIMEOUT_MS)
 
-  clearInterval(looks)
-  calm.close()
-  unplanned.close()
+  clearInterval(checkTimer)
+  disturbances.close()
+  unplannedDisturbances.close()
   await Promise.all(nodes.map((node) => node.close()))
   await platform.close()
   for (const { link } of targets) link.close()
@@ -153,11 +167,11 @@
     faults: plan.faults.length,
     jobs: jobs.size,
     runs,
-    longestStillMs: watch.longestMs(),
-    calmShare: Math.round((100 * lookedInCalm) / looked) / 100,
-    ownStalls: calm.ownStalls(),
+    longestStillMs: stallDetector.longestStallMs(),
+    calmShare: Math.round((100 * undisturbedChecks) / checkCount) / 100,
+    ownStalls: disturbances.ownStalls(),
   }
-  note('result', result)
+  writeTrace('result', result)
   await new Promise<void>((resolve) => trace.end(resolve))
   return result
 }
--- a/playground/soak/runChecks.ts
+++ b/playground/soak/runChecks.ts
@@ -1,14 +1,14 @@
 /** Checks each start and end, as targets see it, against what nodes promise. */
 import type { WatchedEntry } from '../sim/simTarget.js'
-import type { Calm } from './calm.js'
-import { countEnds, isTurnOf, noteEntry } from './jobBook.js'
-import type { JobView, TaskView } from './jobBook.js'
+import type { DisturbanceTracker } from './disturbances.js'
+import { countEnds, areDependenciesDone, recordEntry } from './jobView.js'
+import type { JobView, TaskView } from './jobView.js'
 
-/** Latest start after the answer to a cancel, in ms; the second one also out of calm. */
-const CANCEL_MS = 3000
-const CANCEL_ROUGH_MS = 10_000
+/** Latest start after the answer to a cancel, in ms; the second one also out of disturbances. */
+const MAX_START_AFTER_CANCEL_MS = 3000
+const MAX_START_AFTER_CANCEL_DISTURBED_MS = 10_000
 /** Latest start on a target after its entry said that it drains, in ms. */
-const DRAIN_MS = 2000
+const MAX_START_AFTER_DRAIN_MS = 2000
 
 /** Says that a promise is broken. */
 export type Report = (promise: string, detail: string) => void
@@ -32,7 +32,7 @@
  *   is carried out late, and no bound in time holds for it
  */
 export function createRunChecks(
-  calm: Calm,
+  disturbances: DisturbanceTracker,
   isReachable: (target: string) => boolean,
   report: Report,
 ): RunChecks {
@@ -40,20 +40,25 @@
   const draining = new Map<string, number>()
   const usedCpu = new Map<string, number>()
 
-  const isPrompt = (target: string): boolean => calm.isCalm() && isReachable(target)
+  const isPrompt = (target: string): boolean =>
+    disturbances.isUndisturbed() && isReachable(target)
 
   const START_RULES: Record<string, Rule> = {
     'two runs at once': (_job, { active }) => active !== undefined,
     'ran after its end': ({ isLasting }, task) =>
       !isLasting && countEnds(task, 'done', true) > 0,
-    'ran before its turn': (job, task) => !isTurnOf(job, task),
+    'ran before its turn': (job, task) => !areDependenciesDone(job, task),
     'ran too often': ({ isLasting, queue }, task) =>
       !isLasting && countEnds(task, 'failed', true) >= queue.maxAttempts,
     'rejected job runs': ({ mayBeTaken }) => !mayBeTaken,
     'started on a draining target': (_job, _task, at, target) =>
-      isPrompt(target) && at - (draining.get(target) ?? Infinity) > DRAIN_MS,
+      isPrompt(target) &&
+      at - (draining.get(target) ?? Infinity) > MAX_START_AFTER_DRAIN_MS,
     'ran after its cancel': ({ cancelAckedAt = Infinity }, _task, at, target) =>
-      at - cancelAckedAt > (isPrompt(target) ? CANCEL_MS : CANCEL_ROUGH_MS),
+      at - cancelAckedAt >
+      (isPrompt(target)
+        ? MAX_START_AFTER_CANCEL_MS
+        : MAX_START_AFTER_CANCEL_DISTURBED_MS),
   }
   /** The word of an end stands for all time: no run may have begun since. */
   const NOTED_RULES: Record<string, Rule> = {
@@ -84,7 +89,7 @@
       const task = job?.tasks.find(({ name }) => name === entry.task)
       if (!job || !task) return report('ran unasked', `${entry.task} on ${target}`)
       if (what === 'start') check(START_RULES, job, task, entry)
-      noteEntry(task, entry)
+      recordEntry(task, entry)
       if (what === 'listed') return
       if (what === 'noted') return check(NOTED_RULES, job, task, entry)
       const sign = what === 'start' ? 1 : -1
--- a/playground/soak/setUp.ts
+++ b/playground/soak/setUp.ts
@@ -6,7 +6,7 @@
 import { QUEUE_HOST } from './clients.js'
 import type { SoakTarget } from './faultKinds.js'
 import { openFaultLink } from './faultLink.js'
-import type { SoakQueue } from './jobBook.js'
+import type { SoakQueue } from './jobView.js'
 import type { Fault, SoakPlan } from './plan.js'
 import type { Report } from './runChecks.js'
 
@@ -18,7 +18,7 @@
   { name: 'r-two', path: '/two/', service: 'two', maxAttempts: 12 },
 ]
 /** Time that nodes have to reach a target again after its link was harmed, in ms. */
-const HARMED_MS = 2000
+const LINK_RECOVERY_MS = 2000
 
 /** A configuration; changes of it touch time-outs, and routes that no client uses. */
 export function configurationOf(version: number, change?: Fault): object {
@@ -67,16 +67,17 @@
       const link = await openFaultLink(vm.port)
       vm.port = link.port
       list(vm, 'ready')
-      const isReachable = (): boolean => performance.now() - link.harmedAt() > HARMED_MS
+      const isReachable = (): boolean =>
+        performance.now() - link.lastFaultAt() > LINK_RECOVERY_MS
       return { vm, link, isReachable }
     }),
   )
 
 /** Opens the address that entries of other writers name: nothing may be ordered there. */
 export function openTrap(report: Report): ReturnType<typeof listen> {
-  const trapped: Handler = ({ body }) => {
+  const reportOrder: Handler = ({ body }) => {
     report('order to a foreign entry', JSON.stringify(body))
     return [503]
   }
-  return listen({ 'POST /run-start': trapped, 'POST /hold': trapped })
+  return listen({ 'POST /run-start': reportOrder, 'POST /hold': reportOrder })
 }
--- a/playground/soak/stillWatch.ts
+++ b/playground/soak/stallDetector.ts
@@ -5,20 +5,20 @@
  */
 import type { SimVm } from '../sim/simFleet.js'
 import type { SimTarget } from '../sim/simTarget.js'
-import type { Calm } from './calm.js'
-import { countEnds, isSpent, isTurnOf } from './jobBook.js'
-import type { JobView, TaskView } from './jobBook.js'
+import type { DisturbanceTracker } from './disturbances.js'
+import { countEnds, hasExhaustedAttempts, areDependenciesDone } from './jobView.js'
+import type { JobView, TaskView } from './jobView.js'
 import type { Report, RunChecks } from './runChecks.js'
 
 /** Longest time for which a job stands still, in ms; for a task that lasts it is longer. */
-const STILL_MS = 3000
-const LASTING_STILL_MS = 6000
+const MAX_STALL_MS = 3000
+const MAX_LASTING_TASK_STALL_MS = 6000
 /** A target counts once it has been of use so long, in ms: nodes must have heard of it. */
-const KNOWN_MS = 1000
+const DISCOVERY_MS = 1000
 /** Room that must be there, as a multiple of the need of the task. */
 const ROOM_FACTOR = 2
 /** A run out of reach may go on so long: a lease of 6 s and the skew of clocks, in ms. */
-const LEASE_MS = 6600
+const MAX_UNREACHABLE_RUN_MS = 6600
 
 /** A target as the watch sees it. */
 export interface WatchedTarget {
@@ -27,45 +27,47 @@
 }
 
 /** The watch. */
-export interface StillWatch {
+export interface StallDetector {
   /** Looks at all jobs; to be called all the time. */
-  look(): void
-  /** Longest time for which a job stood still in calm, in ms. */
-  longestMs(): number
+  check(): void
+  /** Longest time for which a job stood still in disturbances, in ms. */
+  longestStallMs(): number
 }
 
 /** Creates the watch. */
-export function createStillWatch(opts: {
+export function createStallDetector(opts: {
   checks: RunChecks
-  calm: Calm
+  disturbances: DisturbanceTracker
   targets: WatchedTarget[]
   isServed(): boolean
   report: Report
-}): StillWatch {
-  const { checks, calm, targets, report } = opts
+}): StallDetector {
+  const { checks, disturbances, targets, report } = opts
   /** Since when each life of a target is of use. */
   const usableSince = new WeakMap<SimTarget, number>()
   /** Since when each job, or task that lasts, stands still. */
-  const stillSince = new Map<string, number>()
+  const stalledSince = new Map<string, number>()
   const reported = new Set<string>()
-  let longest = 0
+  let longestStall = 0
 
-  function lookAtTarget({ vm, isReachable }: WatchedTarget, now: number): void {
+  function updateUsableSince({ vm, isReachable }: WatchedTarget, now: number): void {
     if (!vm.target) return
     const isUsable = vm.state === 'up' && vm.listing === 'ready' && isReachable()
     if (!isUsable) usableSince.delete(vm.target)
     else if (!usableSince.has(vm.target)) usableSince.set(vm.target, now)
   }
 
-  const currentLife = (id: string): SimTarget | undefined =>
+  const currentIncarnation = (id: string): SimTarget | undefined =>
     targets.find(({ vm }) => vm.target?.id === id)?.vm.target
 
   function isKnown(id: string, now: number): boolean {
-    const life = currentLife(id)
-    return life !== undefined && now - (usableSince.get(life) ?? Infinity) > KNOWN_MS
+    const target = currentIncarnation(id)
+    return (
+      target !== undefined && now - (usableSince.get(target) ?? Infinity) > DISCOVERY_MS
+    )
   }
 
-  const roomFor = (job: JobView, task: TaskView, now: number): SimVm | undefined =>
+  const findVmWithRoom = (job: JobView, task: TaskView, now: number): SimVm | undefined =>
     targets.find(({ vm }) => {
       if (vm.pool !== job.queue.service) return false
       if (!vm.target || !isKnown(vm.target.id, now)) return false
@@ -78,52 +80,52 @@
     if (active) return true
     const last = ends.at(-1)
     if (!last || last.isNoted || isKnown(last.target, now)) return false
-    return now - last.at < LEASE_MS
+    return now - last.at < MAX_UNREACHABLE_RUN_MS
   }
 
   /** Whether the life that the target `id` had at time `at` has ended. */
-  const isGone = (id: string, at: number): boolean =>
-    (currentLife(id)?.startedAt ?? Infinity) > at
+  const hasEnded = (id: string, at: number): boolean =>
+    (currentIncarnation(id)?.startedAt ?? Infinity) > at
 
   /** Whether the owner may know of an end that its target did not live to have acknowledged. */
   const mayBeDone = ({ ends }: TaskView): boolean =>
     ends.some(
       ({ what, isListed, target, at }) =>
-        what === 'done' && isListed && isGone(target, at),
+        what === 'done' && isListed && hasEnded(target, at),
     )
 
   const mayStart = (job: JobView, task: TaskView, now: number): boolean =>
-    isTurnOf(job, task) &&
+    areDependenciesDone(job, task) &&
     !mayRun(task, now) &&
     (job.isLasting || (countEnds(task, 'done', true) === 0 && !mayBeDone(task)))
 
   /** Where a task of these could run, while none of them runs. */
-  function look(job: JobView, tasks: TaskView[], key: string, now: number): void {
+  function checkTasks(job: JobView, tasks: TaskView[], key: string, now: number): void {
     const isRunning = tasks.some(({ active }) => active !== undefined)
     const task = isRunning ? undefined : tasks.find((each) => mayStart(job, each, now))
-    const vm = task && roomFor(job, task, now)
-    if (!vm) return void stillSince.delete(key)
-    const since = stillSince.get(key) ?? now
-    stillSince.set(key, since)
-    longest = Math.max(longest, now - since)
-    const limitMs = job.isLasting ? LASTING_STILL_MS : STILL_MS
+    const vm = task && findVmWithRoom(job, task, now)
+    if (!vm) return void stalledSince.delete(key)
+    const since = stalledSince.get(key) ?? now
+    stalledSince.set(key, since)
+    longestStall = Math.max(longestStall, now - since)
+    const limitMs = job.isLasting ? MAX_LASTING_TASK_STALL_MS : MAX_STALL_MS
     if (now - since <= limitMs || reported.has(key)) return
     reported.add(key)
     report('stood still', `${task.name} could run on ${vm.target?.id} (${vm.pool})`)
   }
 
   return {
-    look() {
+    check() {
       const now = performance.now()
-      for (const target of targets) lookAtTarget(target, now)
-      if (!calm.isCalm() || !opts.isServed()) return stillSince.clear()
+      for (const target of targets) updateUsableSince(target, now)
+      if (!disturbances.isUndisturbed() || !opts.isServed()) return stalledSince.clear()
       for (const job of checks.jobs.values()) {
         if (job.acceptedAt === undefined || job.outcome !== undefined) continue
-        if (job.cancelSentAt !== undefined || isSpent(job)) continue
-        if (!job.isLasting) look(job, job.tasks, job.id, now)
-        else for (const task of job.tasks) look(job, [task], task.name, now)
+        if (job.cancelSentAt !== undefined || hasExhaustedAttempts(job)) continue
+        if (!job.isLasting) checkTasks(job, job.tasks, job.id, now)
+        else for (const task of job.tasks) checkTasks(job, [task], task.name, now)
       }
     },
-    longestMs: () => Math.round(longest),
+    longestStallMs: () => Math.round(longestStall),
   }
 }
--- a/playground/soak/traffic.ts
+++ b/playground/soak/traffic.ts
@@ -3,8 +3,8 @@
 import { exponential } from '../random.js'
 import type { Random } from '../random.js'
 import type { Clients } from './clients.js'
-import { tasksOf } from './jobBook.js'
-import type { JobView, SoakQueue, StepView } from './jobBook.js'
+import { tasksOf } from './jobView.js'
+import type { JobView, SoakQueue, StepView } from './jobView.js'
 import type { SoakPlan } from './plan.js'
 
 /** Shares of jobs that are sent once more, cancelled, and that last. */
@@ -13,27 +13,27 @@
 const LASTING_SHARE = 0.04
 /** Share of jobs of one step, and the mean time of a task, in ms. */
 const ONE_STEP_SHARE = 0.6
-const TASK_MS = 500
+const MEAN_TASK_MS = 500
 /** Longest pause before a job is sent once more, or cancelled, in ms. */
-const RESEND_MS = 3000
-const CANCEL_MS = 1500
+const MAX_RESEND_DELAY_MS = 3000
+const MAX_CANCEL_DELAY_MS = 1500
 /** A task that a slow target was given goes on so many times as long, at most. */
-const SLOWEST = 15
+const MAX_SLOWDOWN = 15
 /** Time between two questions for a state, in ms. */
-const QUESTION_MS = 60
+const QUERY_INTERVAL_MS = 60
 
 /** The jobs and their callers. */
 export interface Traffic {
   /** Sends jobs until the time is over, and waits until their callers are done. */
-  work(lengthMs: number): Promise<void>
+  run(lengthMs: number): Promise<void>
   /** Asks for all jobs until each has ended or its time is over; returns those left. */
   settle(ms: number): Promise<JobView[]>
 }
 
 /** Time that a job may need by itself: all of its attempts, or one that is slow, in ms. */
-function needMs({ spec, queue }: JobView): number {
+function maxRunMs({ spec, queue }: JobView): number {
   const { ms, fail } = JSON.parse(spec) as { ms: number; fail: boolean }
-  return ms * (fail ? queue.maxAttempts : SLOWEST)
+  return ms * (fail ? queue.maxAttempts : MAX_SLOWDOWN)
 }
 
 /** Creates the traffic of a run. */
@@ -61,7 +61,7 @@
     const cpu = between(100, 900)
     const isLasting = random() < LASTING_SHARE
     const steps = isLasting ? [{ count: between(1, 3), cpu, after: [] }] : drawSteps(cpu)
-    const ms = isLasting ? 0 : Math.round(50 + exponential(random, TASK_MS))
+    const ms = isLasting ? 0 : Math.round(50 + exponential(random, MEAN_TASK_MS))
     const fail = !isLasting && random() < plan.hopelessShare
     const spec = JSON.stringify({ ms, cpu, fail })
     const tasks = tasksOf(id, steps)
@@ -70,14 +70,14 @@
     return job
   }
 
-  async function live(job: JobView): Promise<void> {
+  async function runCaller(job: JobView): Promise<void> {
     await clients.submit(job)
     if (random() < RESENT_SHARE) {
-      await sleep(between(0, RESEND_MS))
+      await sleep(between(0, MAX_RESEND_DELAY_MS))
       await clients.submit(job)
     }
     if (random() < CANCELLED_SHARE) {
-      await sleep(between(0, CANCEL_MS))
+      await sleep(between(0, MAX_CANCEL_DELAY_MS))
       await clients.cancel(job)
     }
   }
@@ -85,37 +85,37 @@
   const open = (): JobView[] =>
     [...jobs.values()].filter((job) => job.acceptedAt !== undefined && !job.outcome)
 
-  async function askNowAndThen(endsAt: number): Promise<void> {
-    const questions: Promise<void>[] = []
+  async function pollStates(endsAt: number): Promise<void> {
+    const queries: Promise<void>[] = []
     while (performance.now() < endsAt) {
       const known = open()
       const job = known[between(0, known.length)]
-      if (job) questions.push(clients.ask(job))
-      await sleep(QUESTION_MS)
+      if (job) queries.push(clients.queryState(job))
+      await sleep(QUERY_INTERVAL_MS)
     }
-    await Promise.all(questions)
+    await Promise.all(queries)
   }
 
   return {
-    async work(lengthMs) {
+    async run(lengthMs) {
       const endsAt = performance.now() + lengthMs
-      const lives = [askNowAndThen(endsAt)]
+      const callers = [pollStates(endsAt)]
       while (performance.now() < endsAt) {
-        lives.push(live(drawJob()))
+        callers.push(runCaller(drawJob()))
         await sleep(exponential(random, 1000 / plan.jobsPerSecond))
       }
-      await Promise.all(lives)
+      await Promise.all(callers)
     },
     async settle(ms) {
       const since = performance.now()
       const isInTime = (job: JobView): boolean =>
-        performance.now() - since < ms + needMs(job)
+        performance.now() - since < ms + maxRunMs(job)
       while (open().some(isInTime)) {
         for (const job of open()) {
           if (job.isLasting && job.cancelAckedAt === undefined) await clients.cancel(job)
-          await clients.ask(job)
+          await clients.queryState(job)
         }
-        await sleep(QUESTION_MS)
+        await sleep(QUERY_INTERVAL_MS)
       }
       return open()
     },
--- a/playground/soak/waves.ts
+++ b/playground/soak/waves.ts
@@ -8,13 +8,13 @@
 const DURATION_S = 30
 const VMS_PER_WAVE = 3
 /** Time between two looks at the status of a wave, in ms. */
-const LOOK_MS = 200
+const STATUS_INTERVAL_MS = 200
 
 /** The waves of a run. */
 export interface Waves {
   orderWave(fault: Fault): void
   /** Checks that no more VMs are away for a wave than it allows; to be called all the time. */
-  look(): void
+  check(): void
   /** Waits until all waves are said to be completed. */
   settle(ms: number): Promise<void>
 }
@@ -45,7 +45,7 @@
       ordered.set(id, wave)
       platform.putWave(id, wave.names, DURATION_S, wave.maximum)
     },
-    look() {
+    check() {
       for (const [id, { names, maximum }] of ordered) {
         const away = names.filter((name) => isAway(name, id))
         if (away.length > maximum) report('wave too wide', `${id}: ${away}`)
@@ -54,13 +54,14 @@
     async settle(ms) {
       const endsAt = performance.now() + ms
       for (const [id, { names }] of ordered) {
-        while (!isCompleted(id) && performance.now() < endsAt) await sleep(LOOK_MS)
-        const missed = names.filter(
+        while (!isCompleted(id) && performance.now() < endsAt)
+          await sleep(STATUS_INTERVAL_MS)
+        const unmaintained = names.filter(
           (name) => !maintained.some((each) => each.vm === name && each.wave === id),
         )
-        if (!isCompleted(id)) report('wave not carried out', `${id}: ${missed}`)
-        else if (missed.length > 0)
-          report('wave said to be completed', `${id}: ${missed}`)
+        if (!isCompleted(id)) report('wave not carried out', `${id}: ${unmaintained}`)
+        else if (unmaintained.length > 0)
+          report('wave said to be completed', `${id}: ${unmaintained}`)
       }
     },
   }
--- a/test/foreignRows.ts
+++ b/test/foreignRows.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 
 /** Values that a field may have in place of its own. */
-const value = fc.oneof(
+const fieldValue = fc.oneof(
   fc.constantFrom<unknown>(
     null,
     undefined,
@@ -23,9 +23,9 @@
 )
 
 /** The text of a row, with some of its fields replaced, one more, or the end cut off. */
-const changed = (text: string): fc.Arbitrary<string> => {
+const alteredRow = (text: string): fc.Arbitrary<string> => {
   const row = JSON.parse(text) as Record<string, unknown>
-  const fields = fc.dictionary(fc.constantFrom(...Object.keys(row)), value, {
+  const fields = fc.dictionary(fc.constantFrom(...Object.keys(row)), fieldValue, {
     minKeys: 1,
   })
   return fc.oneof(
@@ -43,7 +43,7 @@
     // Bytes that are no text, as the store's client reads them.
     fc.constant('\uFFFD'),
     fc.constant('x'.repeat(1 << 20)),
-    { arbitrary: changed(text), weight: 4 },
+    { arbitrary: alteredRow(text), weight: 4 },
   )
 
 /** Keys that no node of ours would write. */
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -154,7 +154,7 @@
     },
     stop: async () => undefined,
   }
-  const tellAll = (): void => {
+  const notifyListeners = (): void => {
     for (const listener of listeners) listener()
   }
 
@@ -188,17 +188,17 @@
         labels: ['r1-1'],
         ...more,
       })
-      tellAll()
+      notifyListeners()
       return target
     },
     resize: (id, capacity) => rig.relist({ ...listed.get(id)!, capacity }),
     relist(entry) {
       listed.set(entry.id, entry)
-      tellAll()
+      notifyListeners()
     },
     unlist(id) {
       listed.delete(id)
-      tellAll()
+      notifyListeners()
     },
     async own(predecessorMayLive) {
       const owner = await rig.beginOwning(predecessorMayLive)
--- a/test/nodeProbe.ts
+++ b/test/nodeProbe.ts
@@ -4,15 +4,17 @@
 import { sleep } from '../src/shared/index.js'
 
 /** Longest wait for something that a busy machine does late, in ms. */
-const PATIENCE_MS = 40_000
-const STEP_MS = 100
+const WAIT_TIMEOUT_MS = 40_000
+const POLL_INTERVAL_MS = 100
 
 /** Waits until it is so; false when it is not in time. */
-export async function until(isDone: () => boolean | Promise<boolean>): Promise<boolean> {
-  const endsAt = performance.now() + PATIENCE_MS
+export async function waitUntil(
+  isDone: () => boolean | Promise<boolean>,
+): Promise<boolean> {
+  const endsAt = performance.now() + WAIT_TIMEOUT_MS
   while (performance.now() < endsAt) {
     if (await isDone()) return true
-    await sleep(STEP_MS)
+    await sleep(POLL_INTERVAL_MS)
   }
   return false
 }
