--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -75,7 +75,7 @@
 const PORT_STEP_HALL = 100
 const PORT_STEP_NODE = 10
 
-async function pickPorts(base: number, hall: number, node: number): Promise<Ports> {
+async function assignPorts(base: number, hall: number, node: number): Promise<Ports> {
   if (base === 0) {
     return { port: await freePort(), ops: await freePort(), peer: await freePort() }
   }
@@ -97,7 +97,7 @@
       const isEntry = n < opts.entriesPerHall
       const role = isEntry ? ('entry' as const) : ('keeper' as const)
       const id = isEntry ? `${hall}-e${n + 1}` : `${hall}-k${n + 1 - opts.entriesPerHall}`
-      plans.push({ id, hall, role, ports: await pickPorts(opts.basePort ?? 0, h, n) })
+      plans.push({ id, hall, role, ports: await assignPorts(opts.basePort ?? 0, h, n) })
     }
   }
   return plans
--- a/playground/fleet.ts
+++ b/playground/fleet.ts
@@ -84,7 +84,7 @@
 
   const incarnationOf = (vm: SimVm) => `${vm.id}.${vm.starts}`
 
-  function later(ms: number, run: () => void): void {
+  function schedule(ms: number, run: () => void): void {
     const timer = setTimeout(() => {
       timers.delete(timer)
       run()
@@ -104,14 +104,14 @@
     }
   }
 
-  async function takeDown(id: string, downMs: number | undefined): Promise<void> {
+  async function takeOffline(id: string, downMs: number | undefined): Promise<void> {
     const vm = vms.get(id)
     if (!vm || !vm.up) return
     vm.up = false
     revision++
     await endTasksOn(id)
     if (downMs === undefined) return
-    later(downMs, () => {
+    schedule(downMs, () => {
       vm.up = true
       vm.state = 'live'
       vm.starts++
@@ -119,7 +119,7 @@
     })
   }
 
-  async function bringUp(task: SimTask): Promise<void> {
+  async function startServing(task: SimTask): Promise<void> {
     const { spec } = task
     const vm = vms.get(spec.vm)
     if (task.state !== 'starting' || !vm?.up || incarnationOf(vm) !== task.incarnation)
@@ -148,7 +148,7 @@
       revision++
     },
     async removeVm(id) {
-      await takeDown(id, undefined)
+      await takeOffline(id, undefined)
       vms.delete(id)
       revision++
     },
@@ -180,7 +180,7 @@
       const task: SimTask = { spec, state: 'starting', incarnation: incarnationOf(vm) }
       tasks.set(spec.id, task)
       taskRevision++
-      later(opts.taskStartMs ?? DEFAULT_TASK_START_MS, () => void bringUp(task))
+      schedule(opts.taskStartMs ?? DEFAULT_TASK_START_MS, () => void startServing(task))
       return undefined
     },
     async stopTask(id) {
@@ -204,9 +204,9 @@
       const vm = vms.get(id)
       if (!vm || vm.reboots.has(opId)) return
       vm.reboots.add(opId)
-      void takeDown(id, opts.rebootMs ?? DEFAULT_REBOOT_MS)
+      void takeOffline(id, opts.rebootMs ?? DEFAULT_REBOOT_MS)
     },
-    crash: (id, downMs) => takeDown(id, downMs),
+    crash: (id, downMs) => takeOffline(id, downMs),
     async failTask(id) {
       const task = tasks.get(id)
       if (!task) return
--- a/playground/main.ts
+++ b/playground/main.ts
@@ -7,7 +7,7 @@
 
 const BASE_PORT = 7000
 const SEED = 20261202
-const LIGHT_RATE = 20
+const REQUESTS_PER_SECOND = 20
 const SERVICES = ['timing', 'boards', 'esim']
 const LOAD_SLICE_S = 10
 
@@ -31,7 +31,7 @@
 await waitForService(cluster)
 printHints(cluster)
 
-await keepLoading(cluster)
+await runBackgroundLoad(cluster)
 console.log('\nstopping: requests in flight end first')
 await cluster.stop()
 console.log('stopped')
@@ -52,13 +52,13 @@
   }
 }
 
-async function keepLoading(running: Cluster): Promise<void> {
+async function runBackgroundLoad(running: Cluster): Promise<void> {
   const totals = { answered: 0, notRun: 0, unknown: 0 }
   for (let slice = 0; !stopping.signal.aborted; slice++) {
     const report = await runLoad({
       urls: running.entries().map((entry) => entry.url),
       services: SERVICES,
-      rate: LIGHT_RATE,
+      rate: REQUESTS_PER_SECOND,
       seconds: LOAD_SLICE_S,
       seed: SEED + slice,
       unrepeatableShare: 0.5,
--- a/playground/platform.ts
+++ b/playground/platform.ts
@@ -239,12 +239,12 @@
   const since = Number(c.req.query('since') ?? 0)
   // A reader that is ahead of us saw a table that was lost; it gets everything.
   const full = since === 0 || since > state.revision
-  const wanted = (key: string) => prefixes.some((prefix) => key.startsWith(prefix))
+  const matchesPrefix = (key: string) => prefixes.some((prefix) => key.startsWith(prefix))
   const rows = [...state.rows.values()].filter(
-    (row) => wanted(row.key) && (full || row.revision > since),
+    (row) => matchesPrefix(row.key) && (full || row.revision > since),
   )
   const deleted = [...state.deleted]
-    .filter(([key, revision]) => !full && wanted(key) && revision > since)
+    .filter(([key, revision]) => !full && matchesPrefix(key) && revision > since)
     .map(([key]) => key)
   return { revision: state.revision, rows, deleted, full }
 }
--- a/playground/ports.ts
+++ b/playground/ports.ts
@@ -16,7 +16,7 @@
 let nextPort = 0
 let endPort = 0
 /** Callers take ports one after another. */
-let turn: Promise<unknown> = Promise.resolve()
+let lastRequest: Promise<unknown> = Promise.resolve()
 
 /** A server on the port; undefined when another one has it. */
 function listenOn(port: number): Promise<Server | undefined> {
@@ -35,7 +35,7 @@
 }
 
 /** Takes a block by its first port, which stays open as long as this thread lives. */
-async function takeBlock(): Promise<void> {
+async function reserveBlock(): Promise<void> {
   for (let block = 0; block < BLOCKS; block++) {
     const first = FIRST_PORT + block * PORTS_PER_BLOCK
     const guard = await listenOn(first)
@@ -50,7 +50,7 @@
 
 async function findPort(): Promise<number> {
   for (;;) {
-    if (nextPort >= endPort) await takeBlock()
+    if (nextPort >= endPort) await reserveBlock()
     const port = nextPort++
     if (await canListen(port)) return port
   }
@@ -58,7 +58,7 @@
 
 /** A port that no other thread takes as long as this one lives. */
 export function freePort(): Promise<number> {
-  const port = turn.then(findPort)
-  turn = port.catch(() => undefined)
+  const port = lastRequest.then(findPort)
+  lastRequest = port.catch(() => undefined)
   return port
 }
--- a/playground/target.ts
+++ b/playground/target.ts
@@ -80,12 +80,12 @@
     res.end(JSON.stringify({ vm, incarnation, job, state, load: load() }))
   }
 
-  async function takeSlot(): Promise<void> {
+  async function acquireSlot(): Promise<void> {
     if (running >= slots) await new Promise<void>((resolve) => waiting.push(resolve))
     running++
   }
 
-  function giveSlot(): void {
+  function releaseSlot(): void {
     running--
     waiting.shift()?.()
   }
@@ -96,7 +96,7 @@
       res.end()
       return
     }
-    await takeSlot()
+    await acquireSlot()
     const id = String(req.headers[REQUEST_ID_HEADER] ?? '')
     ledger.set(id, (ledger.get(id) ?? 0) + 1)
     await behaviour.readsAfter
@@ -105,7 +105,7 @@
     const ms = behaviour.meanMs === 0 ? 0 : exponential(opts.random, behaviour.meanMs)
     if (ms > 0) await new Promise((resolve) => setTimeout(resolve, ms))
     if (!behaviour.hangs) answer(req, res, id, received)
-    giveSlot()
+    releaseSlot()
   }
 
   function answer(
@@ -135,7 +135,7 @@
 
   const server = createServer((req, res) => {
     if (req.url === HEALTH_PATH) return answerHealth(res)
-    run(req, res).catch(() => giveSlot())
+    run(req, res).catch(() => releaseSlot())
   })
   server.on('connection', (socket) => {
     sockets.add(socket)
