--- a/test/describe.ts
+++ b/test/describe.ts
@@ -1,17 +1,17 @@
-/** Nested `describe` blocks over ava, which has none: titles are joined. */
+/** Nested `describe` blocks on top of ava, which has none. The titles are joined with ' › '. */
 import test from 'ava'
 import type { ExecutionContext } from 'ava'
 
 const titles: string[] = []
 
-/** Groups tests under a title. */
+/** Prefixes the titles of the tests that `body` registers with `title`. */
 export function describe(title: string, body: () => void): void {
   titles.push(title)
   body()
   titles.pop()
 }
 
-/** One test; its full title is that of all groups around it and its own. */
+/** Registers a test. Its full title is that of all enclosing groups followed by its own. */
 export function it(
   title: string,
   body: (t: ExecutionContext) => void | Promise<void>,
@@ -19,7 +19,7 @@
   test([...titles, title].join(' › '), body)
 }
 
-/** As {@link it}, for tests that must not run beside others of the file. */
+/** Like {@link it}, for tests that must not run concurrently with others of the same file. */
 export function itAlone(
   title: string,
   body: (t: ExecutionContext) => void | Promise<void>,
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -1,12 +1,12 @@
-/** Small things that the tests of several areas need. */
+/** Fixtures shared by the tests of several areas. */
 import { createJobBook } from '../src/jobs/index.js'
 import type { JobBook } from '../src/jobs/index.js'
 import type { Vm } from '../src/ports/index.js'
 
-/** Processor room of a VM from {@link vmOf}, in thousandths of a core. */
+/** CPU capacity of a VM from {@link vmOf}, in thousandths of a core. */
 export const VM_CPU = 10_000
 
-/** A VM that is up; `number` names it and the life on it. */
+/** A VM that is up. `number` determines its name and the id of its target. */
 export const vmOf = (number: number, pool: string): Vm => ({
   name: `m${number}`,
   pool,
@@ -17,7 +17,7 @@
   targetId: `i${number}`,
 })
 
-/** An empty job book whose clocks stand still and that tells nobody. */
+/** An empty job book with both clocks fixed at 0 and callbacks that do nothing. */
 export const createStillBook = (): JobBook =>
   createJobBook({
     rulesOf: () => ({ maxAttempts: 1 }),
--- a/test/foreignRows.ts
+++ b/test/foreignRows.ts
@@ -1,7 +1,7 @@
-/** Texts as another writer may put them into rows that the nodes read, for property tests. */
+/** Arbitraries for keys and texts that another program may write into rows read by the nodes. */
 import fc from 'fast-check'
 
-/** Values that a field may have in place of its own. */
+/** Values that replace the one of a field. */
 const fieldValue = fc.oneof(
   fc.constantFrom<unknown>(
     null,
@@ -22,7 +22,7 @@
   fc.jsonValue(),
 )
 
-/** The text of a row, with some of its fields replaced, one more, or the end cut off. */
+/** The text of a row with some fields replaced, cut short, or with its first number out of range. */
 const alteredRow = (text: string): fc.Arbitrary<string> => {
   const row = JSON.parse(text) as Record<string, unknown>
   const fields = fc.dictionary(fc.constantFrom(...Object.keys(row)), fieldValue, {
@@ -35,18 +35,18 @@
   )
 }
 
-/** Anything, or a row of the kind whose text is given, changed. */
+/** Arbitrary text, or an altered copy of the row whose text is given. */
 export const foreignText = (text: string): fc.Arbitrary<string> =>
   fc.oneof(
     fc.string(),
     fc.json(),
-    // Bytes that are no text, as the store's client reads them.
+    // The store's client decodes invalid UTF-8 to this character.
     fc.constant('\uFFFD'),
     fc.constant('x'.repeat(1 << 20)),
     { arbitrary: alteredRow(text), weight: 4 },
   )
 
-/** Keys that no node of ours would write. */
+/** Keys that no node writes. */
 export const foreignKey: fc.Arbitrary<string> = fc.oneof(
   fc.string({ minLength: 1, maxLength: 60 }),
   fc.constantFrom('a/b', 'a b', 'a\nb', '.', '..', '.cancel', '__proto__', '~fleet', 'ä'),
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -1,4 +1,4 @@
-/** A store, targets and a configuration, for tests of owners without any wire. */
+/** An in-memory store, simulated targets and a configuration, for tests of owners without a network. */
 import type {
   Queue,
   Resources,
@@ -46,7 +46,7 @@
 
 let nextId = 0
 
-/** A job of one step unless told otherwise. */
+/** A job for {@link QUEUE}; by default it has one step of two tasks. */
 export function makeJob(
   task: SimTaskSpec,
   steps: Partial<StepSpec>[] = [{ count: 2 }],
@@ -71,55 +71,55 @@
   table: ReturnType<typeof createRowTable>
   targets: Map<string, SimTarget>
   listed: Map<string, Target>
-  /** Steady time since which owners have read the list without a gap, in ms. */
+  /** Monotonic time since which owners have read the list of targets without a gap, in ms. */
   listSteadySince: number
   ledger: RunLedger
   log: ReturnType<typeof createMemoryLogger>
-  /** How owners reach targets; by default without any wire. */
+  /** How owners reach targets; by default through direct calls in the process. */
   orders: TargetOrders
-  /** List of VMs that owners see; undefined for none. */
+  /** List of VMs that owners read; undefined if there is none. */
   cloud: VmCloud | undefined
   addTarget(
     id: string,
     more?: Partial<Target>,
     simOptions?: Partial<Parameters<typeof createSimTarget>[0]>,
   ): SimTarget
-  /** Changes the capacity in the list; that of the simulated target stays the same. */
+  /** Changes the capacity in the list, but not that of the simulated target. */
   resize(id: string, capacity: Resources): void
   /** Called when a target crashes. */
   crashed: (id: string) => void
   /** Replaces the entry of a target on the list and notifies the owners. */
   relist(entry: Target): void
-  /** Takes a target off the list. */
+  /** Removes the entry of a target from the list and notifies the owners. */
   unlist(id: string): void
   /**
-   * Starts an owner of the next term; the store refuses writes of earlier ones. Resolves once it
-   * has read the jobs that it inherits.
+   * Starts an owner with the next term; the store refuses writes of earlier terms. Resolves once
+   * the owner has read the jobs of the previous owner.
    */
   own(predecessorMayLive?: boolean): Promise<RigOwner>
-  /** The same, resolved as soon as it runs. */
+  /** Like `own`, but resolves as soon as the owner runs. */
   beginOwning(predecessorMayLive?: boolean): Promise<RigOwner>
-  /** Makes a job durable and offers it to the owner. */
+  /** Writes a job to the store and offers it to the owner. */
   submit(owner: ServiceOwner, job: JobSpec): void
   outcomeOf(job: JobSpec): string | undefined
-  /** Targets under suspicion, as the log says. */
+  /** Targets that are suspect according to the log, sorted by id. */
   suspects(): string[]
-  /** Waits until all have an outcome in the store; false after `ms`. */
+  /** Waits until all jobs have an outcome in the store; false if not within `ms`. */
   settled(jobs: JobSpec[], ms: number): Promise<boolean>
   stop(): Promise<void>
 }
 
 export interface RigOwner extends ServiceOwner {
-  /** Set false to end the owner's right to give orders. */
+  /** Set to false to withdraw the owner's right to send orders. */
   live: boolean
-  /** Set false for an owner that is out of touch with the store. */
+  /** Set to false for an owner that cannot confirm its lease in the store. */
   confirmed: boolean
   lostBecause: string | undefined
 }
 
 /**
  * Creates a rig without targets.
- * @param makeList follows the list of targets; by default it is what `addTarget` adds
+ * @param makeList creates the list of targets; by default it holds what `addTarget` adds
  */
 export function createJobRig(
   makeList?: (store: RowStore, log: Logger) => TargetList,
@@ -279,10 +279,11 @@
 }
 
 /**
- * Says which task broke a promise, by what the targets have done.
- * @param dead targets that crashed: what ran there is over.
- * @param silent targets that were out of reach for longer than a lease: an end there may
- *   be unknown, and the task run again.
+ * Checks what the targets did against the guarantees: no task has two runs at once, and none
+ * starts again after it was done. Returns a description of the first violation.
+ * @param dead targets that crashed; runs on them count as ended
+ * @param silent targets that were unreachable for longer than a lease; the owner may not know
+ *   that a task was done there and may run it again
  */
 export function findBrokenPromise(
   ledger: RunLedger,
--- a/test/nodeProbe.ts
+++ b/test/nodeProbe.ts
@@ -1,13 +1,13 @@
-/** Waits for node processes, for tests that start them. */
+/** Waits for conditions of node processes that a test starts. */
 import { request } from 'undici'
 import type { NodeProcess } from '../playground/sim/nodeProcess.js'
 import { sleep } from '../src/shared/index.js'
 
-/** Longest wait for something that a busy machine does late, in ms. */
+/** Time-out of a wait, in ms; long enough for a machine under load. */
 const WAIT_TIMEOUT_MS = 40_000
 const POLL_INTERVAL_MS = 100
 
-/** Waits until it is so; false when it is not in time. */
+/** Polls `isDone` until it holds; false after {@link WAIT_TIMEOUT_MS}. */
 export async function waitUntil(
   isDone: () => boolean | Promise<boolean>,
 ): Promise<boolean> {
@@ -19,7 +19,7 @@
   return false
 }
 
-/** Whether the node says that it takes callers. */
+/** Whether the readiness address of the node answers 200. */
 export async function isReady({ readiness }: NodeProcess): Promise<boolean> {
   const res = await request(`http://${readiness}/readiness`).catch(() => undefined)
   await res?.body.dump()
--- a/test/ownerNodes.ts
+++ b/test/ownerNodes.ts
@@ -1,21 +1,22 @@
-/** Nodes that claim services from one table, for tests of ownership. */
+/** Nodes that claim ownership of services in a shared store, for tests of ownership. */
 import { createMemoryLogger } from '../src/shared/index.js'
 import { createNodeRegistry, createOwnership } from '../src/ownership/index.js'
 import type { Authority } from '../src/ownership/index.js'
 import type { RowStore } from '../src/ports/index.js'
 
-/** What a node of a test says of itself. */
+/** Options of {@link startOwnerNode}. */
 export interface OwnerNodeOptions {
   id: string
   store: RowStore
   /** Services that need an owner. */
   services: string[]
+  /** Capacity of the node as an owner; 1 for a whole core. */
   room?: number
   /** Clock for leases, in ms. */
   now?: () => number
 }
 
-/** Starts a node; what it owns is in `authorities`. */
+/** Starts a node. `authorities` holds the services that it owns. */
 export function startOwnerNode(opts: OwnerNodeOptions) {
   const { id, store, services, room = 1, now } = opts
   const log = createMemoryLogger()
@@ -56,5 +57,5 @@
   }
 }
 
-/** A node of a test. */
+/** A node started by {@link startOwnerNode}. */
 export type OwnerNode = ReturnType<typeof startOwnerNode>
--- a/test/rig.ts
+++ b/test/rig.ts
@@ -1,4 +1,4 @@
-/** An entry before real targets and a stand-in platform whose rows the test writes. */
+/** An entry with HTTP targets and a stand-in platform whose rows the test writes. */
 import { createSimFleet } from '../playground/fleet.js'
 import type { SimFleet } from '../playground/fleet.js'
 import { startPlatform } from '../playground/platform.js'
@@ -28,7 +28,7 @@
   'service/s': { weight: '1', limit: '100', pool: 'p', instances: '2' },
 }
 
-/** A running entry and what stands around it. */
+/** A running entry with its platform and targets. */
 export interface EntryRig {
   url: string
   opsUrl: string
@@ -38,25 +38,25 @@
   standIn: StandInPlatform
   fleet: SimFleet
   ledger: Ledger
-  /** Starts a target and writes the rows that announce it. */
+  /** Starts a target and writes its rows; resolves once the entry lists it. */
   addTarget(
     vm: string,
     behaviour?: Partial<TargetBehaviour>,
     extra?: { port?: number; incarnation?: string },
   ): Promise<{ target: TargetServer; job: string }>
-  /** Writes the rows that announce a target at an address. */
+  /** Writes the rows of a target at an address; resolves once the entry lists it. */
   announce(vm: string, incarnation: string, address: string): Promise<void>
-  /** Changes a VM's row. */
+  /** Changes fields of a VM's row and creates the row if it is absent. */
   setVm(id: string, change: Partial<VmRow>): Promise<void>
-  /** Waits until the check holds; it is looked at often. */
+  /** Polls the check every 10 ms until it holds; never times out. */
   until(check: () => boolean | Promise<boolean>): Promise<void>
   stop(): Promise<void>
 }
 
-/** Name of the job that the rig gives to a target. */
+/** Id of the job whose row announces a target. */
 export const jobOf = (vm: string, incarnation: string): string => `s-${vm}-${incarnation}`
 
-/** Starts the rig. */
+/** Starts a platform with the table {@link ONE_SERVICE} and an entry in this process. */
 export async function startRig(settings: UserConfig = {}): Promise<EntryRig> {
   const ledger: Ledger = new Map()
   const random = createRandom(1)
--- a/test/standIn.ts
+++ b/test/standIn.ts
@@ -1,4 +1,4 @@
-/** A stand-in platform without VMs, and a client of it, for one test. */
+/** A stand-in platform without VMs and a client of it, for one test. */
 import type { ExecutionContext } from 'ava'
 import { createSimFleet } from '../playground/fleet.js'
 import { startPlatform } from '../playground/platform.js'
@@ -7,10 +7,10 @@
 import { createHttpPlatform } from '../src/platform/index.js'
 import type { Platform } from '../src/platform/index.js'
 
-/** Name by which the client is known to the stand-in, for cuts. */
+/** Node name that the client sends; calls under it can be cut off by a fault. */
 export const CLIENT_NODE = 'test'
 
-/** Starts both; they end with the test. */
+/** Starts the stand-in and the client; both close with the test. */
 export async function startStandIn(
   t: ExecutionContext,
 ): Promise<{ standIn: StandInPlatform; platform: Platform }> {
