--- a/playground/sim/cloudHandlers.ts
+++ b/playground/sim/cloudHandlers.ts
@@ -1,4 +1,4 @@
-/** Control of VMs of the stand-in platform in the platform's wire format. */
+/** HTTP handlers of the stand-in platform for the list, moves and maintenance of VMs. */
 import type { SimFleet, SimVm } from './simFleet.js'
 import type { Body, Handler } from './wire.js'
 
@@ -12,7 +12,7 @@
   id: target?.id ?? null,
 })
 
-/** Answers for the cloud. Moves go to the named pools only. */
+/** Handlers of the cloud interface. A move to a pool that is not in `pools` is answered 400. */
 export function cloudHandlers(
   fleet: SimFleet,
   pools: readonly string[],
--- a/playground/sim/cpuThrottle.ts
+++ b/playground/sim/cpuThrottle.ts
@@ -1,21 +1,21 @@
 /**
- * Gives a process a share of a core: it is stopped and goes on in turn, like the virtual core
- * of a small VM that shares its host.
+ * Limits the CPU time of a process by stopping and continuing it periodically, as a hypervisor
+ * does with a virtual core of a shared host.
  */
 import type { ChildProcess } from 'node:child_process'
 
-/** Length of a turn, in ms: a host gives its guests the core in slices of this order. */
+/** Length of a period, in ms; of the order of a hypervisor's time slices. */
 const PERIOD_MS = 100
 
-/** The share, while it is kept. */
+/** A running throttle. */
 export interface CpuThrottle {
-  /** Lets the process run freely again. */
+  /** Ends the throttling and continues the process. */
   close(): void
 }
 
 /**
- * Starts stopping the process.
- * @param share part of each turn in which it runs
+ * Throttles a process until the result is closed.
+ * @param share fraction of each period during which the process runs, from 0 to 1
  */
 export function throttleCpu(child: ChildProcess, share: number): CpuThrottle {
   let stopTimer: NodeJS.Timeout | undefined
--- a/playground/sim/nodeProcess.ts
+++ b/playground/sim/nodeProcess.ts
@@ -1,4 +1,4 @@
-/** Starts `rillshunt-node` as a process of its own against a stand-in platform. */
+/** Starts `rillshunt-node` in a child process against a stand-in platform. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { mkdtempSync, writeFileSync } from 'node:fs'
@@ -8,48 +8,49 @@
 import type { SimPlatform } from './wireServer.js'
 
 const HOST = '127.0.0.1'
-/** The built program. */
+/** Path of the built program, relative to the root of the repository. */
 export const NODE_PROGRAM = 'dist/src/bin/node.js'
 
-/** How a node is started, where a test asks for something else than usual. */
+/** Options of {@link startNodeProcess}. */
 export interface NodeProcessOptions {
   /**
-   * Lines of settings after the usual ones.
+   * Lines appended to the settings file.
    * @default none
    */
   moreSettings?: string[]
   /**
-   * Arguments of Node.js, the program last.
+   * Arguments of Node.js that precede the settings file; the program comes last.
    * @default the built program
    */
   program?: string[]
   /**
-   * Called with the settings file and the address for callers right before the start.
+   * Called with the settings file and the address for callers before the process is spawned.
    * @default nothing is done
    */
   prepare?(file: string, callers: string): void | Promise<void>
 }
 
-/** A node in a process of its own. */
+/** A node in a child process. */
 export interface NodeProcess {
   name: string
-  /** Where callers come in. */
+  /** Address for callers, as `host:port`. */
   callers: string
+  /** Address of the readiness check, as `host:port`. */
   readiness: string
-  /** Where its metrics are read. */
+  /** URL of the metrics. */
   metrics: string
   child: ChildProcess
-  /** Its settings; it reads them again at SIGHUP. */
+  /** Path of the settings file, which the node reads again on SIGHUP. */
   settingsFile: string
-  /** Everything that it wrote. */
+  /** All output so far, stdout and stderr together. */
   output(): string
-  /** Ends it at once; resolves when it is gone. */
+  /** Sends a signal, SIGKILL by default; resolves once the process has exited. */
   kill(signal?: NodeJS.Signals): Promise<void>
 }
 
 /**
- * Ports below those that the system gives to outgoing connections: a node that is started
- * again finds its port free. Of 80 nodes on other ports one found its port taken.
+ * Ports below the ephemeral range of the system, so that no outgoing connection holds the port
+ * of a node that restarts. With ports of that range, one of 80 nodes found its port taken.
  */
 const FIRST_PORT = 15_000
 const PORTS = 17_000
@@ -68,16 +69,16 @@
   }
 }
 
-/** Where a node listens, and the file that says so. */
+/** Addresses of a node and the settings file that contains them. */
 export interface NodeSettings {
   callers: string
   readiness: string
-  /** Where its metrics are read. */
+  /** URL of the metrics. */
   metrics: string
   file: string
 }
 
-/** Writes the settings of a node that listens on free ports. */
+/** Picks free ports for a node and writes its settings to a new temporary directory. */
 export async function writeNodeSettings(
   platform: { storeAddress: string; cloudAddress?: string | undefined },
   name: string,
@@ -115,7 +116,7 @@
   }
 }
 
-/** Starts a node; it is ready once its readiness address says so. */
+/** Spawns a node on free ports; resolves before the node is ready. */
 export async function startNodeProcess(
   platform: SimPlatform,
   name: string,
--- a/playground/sim/oneQueue.ts
+++ b/playground/sim/oneQueue.ts
@@ -1,15 +1,13 @@
-/** The smallest configuration, in the platform's wire format: one queue, and a pool of idle VMs. */
+/** A minimal configuration in the platform's wire format: one queue and a pool of idle VMs. */
 
-/** Host by which callers name the queue. */
+/** Host header of requests to the queue. */
 export const QUEUE_HOST = 'q.example'
-/** Path under which callers hand jobs in. */
+/** Path prefix of requests to the queue. */
 export const QUEUE_PATH = '/one/'
-/** Name of the queue. */
 export const QUEUE_NAME = 'r-one'
-/** Name of the service whose targets run its tasks. */
+/** Service whose targets run the tasks of the queue. */
 export const QUEUE_SERVICE = 'one'
 
-/** The configuration. */
 export const ONE_QUEUE = {
   version: 3,
   routes: [
--- a/playground/sim/rateLimitedLink.ts
+++ b/playground/sim/rateLimitedLink.ts
@@ -1,21 +1,21 @@
 /**
- * A proxy before an address that lets through so many bytes a second in each direction, over
- * all connections together: the link of a small VM.
+ * TCP proxy with a limited bandwidth in each direction, shared by all of its connections. It
+ * simulates the network link of a small VM.
  */
 import { createServer, connect } from 'node:net'
 import type { Socket } from 'node:net'
 import { HOST } from './wire.js'
 
-/** Time between two portions, in ms. */
+/** Interval at which bytes are forwarded, in ms. */
 const STEP_MS = 10
 
-/** The proxy, while it runs. */
+/** A running proxy. */
 export interface RateLimitedLink {
   address: string
   close(): void
 }
 
-/** Bytes that wait for their turn; each connection keeps its order. */
+/** Creates a function that queues bytes and writes up to `bytesPerStep` of them per interval. */
 function createRateLimiter(bytesPerStep: number): (to: Socket, data: Buffer) => void {
   const waiting: { to: Socket; data: Buffer }[] = []
   const timer = setInterval(() => {
@@ -33,7 +33,11 @@
   return (to, data) => void waiting.push({ to, data })
 }
 
-/** Opens the proxy. */
+/**
+ * Opens a proxy in front of an address.
+ * @param to address as `host:port`
+ * @param mbps bandwidth of each direction, in Mbit/s
+ */
 export async function openRateLimitedLink(
   to: string,
   mbps: number,
--- a/playground/sim/rowTable.ts
+++ b/playground/sim/rowTable.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the platform's store: rows, versions, conditions, change lists. Faults are
- * switched on by tests. All times are real; nothing is durable.
+ * In-memory stand-in for the platform's store: versioned rows, conditional transactions and feeds
+ * of changes. Tests inject faults. Delays use real time.
  */
 import { err, ok } from 'neverthrow'
 import type {
@@ -14,39 +14,40 @@
 import { PlatformError, sleep } from '../../src/shared/index.js'
 import type { PlatformFailure } from '../../src/shared/index.js'
 
-/** What goes wrong. Each field can be changed at any time. */
+/** Injected faults. Each field can be changed at any time. */
 export interface StoreFaults {
   /** Refuses every call. */
   down: boolean
-  /** Nodes whose calls are refused; compared with the name given to `forNode`. */
+  /** Names, as given to `forNode`, of nodes whose calls are refused. */
   refusedNodes: Set<string>
-  /** Parts that refuse their calls; feeds of changes go on. */
+  /** Parts whose reads and commits are refused; feeds of changes still work. */
   refusedParts: Set<string>
-  /** Breaks the connection of every call, which is not done. */
+  /** Fails every call with a connection reset, without carrying it out. */
   broken: boolean
-  /** Time that every call takes, in ms. */
+  /** Delay of every call, in ms. */
   delayMs: number
-  /** Share of commits that are done and not answered. */
+  /** Fraction of commits that are carried out but not answered, from 0 to 1. */
   lostShare: number
-  /** Time after which an unanswered commit is given up, in ms. */
+  /** Time after which an unanswered commit fails, in ms. */
   lostMs: number
-  /** Of the unanswered commits, those that are done only after this time, in ms. */
+  /** Delay after which unanswered commits are carried out, in ms; 0 for at once. */
   lateMs: number
+  /** Source of numbers from 0 up to 1 that selects the unanswered commits. */
   random: () => number
 }
 
-/** The rows, and the store as the nodes see it. */
+/** The rows, with access for tests and for nodes. */
 export interface RowTable {
   faults: StoreFaults
-  /** The store as one node sees it. */
+  /** The store's interface for the node `name`. */
   forNode(name: string): RowStore
   put(key: RowKey, value: string): number
   remove(key: RowKey): void
   get(key: RowKey): StoredRow | undefined
   rows(table: string): StoredRow[]
-  /** All parts that hold rows. */
+  /** Names of all parts that hold rows, sorted. */
   parts(): string[]
-  /** Forgets the history, so that followers must read afresh. */
+  /** Discards the history of changes, so that followers must read all rows again. */
   compact(): void
   version(): number
 }
@@ -57,7 +58,7 @@
 /** Creates an empty table without faults. */
 export function createRowTable(): RowTable {
   const rows = new Map<string, StoredRow>()
-  /** Changes of each table, the newest last. */
+  /** Changes by table, oldest first. */
   const history = new Map<string, RowChange[]>()
   let compactedAt = 0
   let version = 0
@@ -81,7 +82,7 @@
     for (const wake of waiters.splice(0)) wake()
   }
 
-  /** Changes of a table after a version; looked for from the newest, since few are new. */
+  /** Changes of a table after a version. Searches from the newest, as few changes are new. */
   const changesAfter = (table: string, after: number): RowChange[] => {
     const changes = history.get(table) ?? []
     let from = changes.length
@@ -118,7 +119,7 @@
   const failed = (step: string, failure: PlatformFailure, reason: string) =>
     err(new PlatformError(reason, { props: { step, peer: 'sim', failure } }))
 
-  /** The failure of a call that is not done; undefined when it is. */
+  /** The injected failure of a call; undefined if the call is to be carried out. */
   const failureOf = (node: string, step: string, part?: string) => {
     if (faults.broken) return failed(step, 'unknown', 'connection reset')
     const isPartDown = part !== undefined && faults.refusedParts.has(part)
--- a/playground/sim/simFleet.ts
+++ b/playground/sim/simFleet.ts
@@ -1,14 +1,14 @@
-/** VMs of the stand-in platform, and the lives of targets that run on them. */
+/** VMs of the stand-in platform and the targets that run on them. */
 import type { Resources, RowKey } from '../../src/ports/index.js'
 import type { RowTable } from './rowTable.js'
 import { createSimTarget } from './simTarget.js'
 import type { RunLedger, SimTarget } from './simTarget.js'
 import { HOST } from './wire.js'
 
-/** What the list of targets shows of a VM; `none`: its entry is not written. */
+/** State of a VM's target in the list of targets; `none`: the list has no entry for it. */
 export type Listing = 'ready' | 'draining' | 'none'
 
-/** A VM of the stand-in, with the life that runs on it. */
+/** A VM of the stand-in with its current target, if any. */
 export interface SimVm {
   name: string
   pool: string
@@ -21,27 +21,27 @@
   port: number
 }
 
-/** A VM that had its maintenance in a wave. */
+/** Records that a VM had its maintenance in a wave. */
 export interface MaintenanceRecord {
   vm: string
   wave: number
 }
 
-/** The VMs, and what happens to them. */
+/** The VMs and operations on them. */
 export interface SimFleet {
   vms: SimVm[]
   maintained: MaintenanceRecord[]
-  /** Adds a VM on which nothing runs yet. */
+  /** Adds a VM without a target. */
   add(pool: string, hall: string, capacity: Resources): SimVm
-  /** Writes the row of the target on a VM. */
+  /** Writes the row of the target on a VM if the VM is up and listed. */
   sendHeartbeat(vm: SimVm): void
-  /** Changes what the list shows of a VM, at once. */
+  /** Changes the listing of a VM and writes or removes the row at once. */
   list(vm: SimVm, listing: Listing): void
-  /** Starts a new life on a VM, under `id` or, by default, a new id. */
+  /** Starts a new incarnation of the target on a VM, under `id` or, by default, a new id. */
   startTarget(vm: SimVm, id?: string): void
-  /** Ends the life on a VM. */
+  /** Crashes the target on a VM and removes its row. */
   endTarget(vm: SimVm): void
-  /** Ends the life on a VM, and starts the next one in `pool` after a while. */
+  /** Ends the target on a VM and starts the next one in `pool` after `awayMs`. */
   takeOffline(vm: SimVm, state: SimVm['state'], pool: string): void
   close(): void
 }
@@ -50,7 +50,7 @@
 export function createSimFleet(opts: {
   table: RowTable
   ledger: RunLedger
-  /** Time that a move or maintenance takes, in ms. */
+  /** Duration of a move or maintenance, in ms. */
   awayMs: number
 }): SimFleet {
   const { table, ledger } = opts
--- a/playground/sim/simLinks.ts
+++ b/playground/sim/simLinks.ts
@@ -1,4 +1,4 @@
-/** Direct links to stand-in targets, for tests that need no wire. */
+/** Direct links to simulated targets, for tests without a network. */
 import { err, ok } from 'neverthrow'
 import type {
   OrderError,
@@ -9,7 +9,7 @@
 import { PlatformError, sleep } from '../../src/shared/index.js'
 import type { SimTarget, StartVerdict } from './simTarget.js'
 
-/** Time after which an unanswered order is given up at the latest, in ms. */
+/** Longest time after which an unanswered order fails, in ms. */
 const ANSWER_TIMEOUT_MS = 60
 
 const REFUSALS: Record<Exclude<StartVerdict, 'accepted'>, StartRefusal> = {
@@ -24,17 +24,17 @@
   return { failure, reason, cause: new PlatformError(reason, { props }) }
 }
 
-/** Links by target id; an id that has no target any more counts as replaced. */
+/** Opens links by target id. Orders to an id without a target fail as `gone`. */
 export function createSimOrders(targets: Map<string, SimTarget>): TargetOrders {
   return { open: ({ id }) => createSimLink(() => targets.get(id)) }
 }
 
 function createSimLink(find: () => SimTarget | undefined): TargetLink {
-  /** Carries an order out as the faults of the target say. */
+  /** Carries out an order subject to the faults of the target. */
   async function execute<T>(timeoutMs: number, action: (target: SimTarget) => T) {
     await sleep(1)
     const target = find()
-    if (!target) return err(orderError('gone', 'another life answered'))
+    if (!target) return err(orderError('gone', 'another incarnation answered'))
     const { silent, mute, lateMs, isLate } = target.faults
     const unanswered = async () => {
       await sleep(Math.min(ANSWER_TIMEOUT_MS, timeoutMs))
@@ -43,7 +43,7 @@
     if (silent) return unanswered()
     if (lateMs > 0 && isLate()) {
       setTimeout(() => {
-        // The target may have restarted in the meantime: the late order reaches its new life.
+        // After a restart of the target the late order reaches the new incarnation.
         const current = find()
         if (current && !current.faults.silent) action(current)
       }, lateMs).unref()
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for a target: runs tasks under leases, refuses what is fenced, superseded,
- * late or too large, and lists ends until they are acknowledged. What a task does stands
- * in its spec, as JSON: `{"ms": 50, "cpu": 1000, "fail": false}`.
+ * Simulated target: runs tasks under leases, refuses orders that are fenced, superseded, expired
+ * or exceed its capacity, and reports ends of runs until they are acknowledged. The spec of a
+ * task is JSON that defines its behaviour: `{"ms": 50, "cpu": 1000, "fail": false}`.
  */
 import type {
   ReportedEnd,
@@ -11,21 +11,23 @@
 } from '../../src/ports/index.js'
 import { monotonicMs } from '../../src/shared/index.js'
 
-/** What a task does, by its spec. */
+/** Behaviour of a task, as given in its spec. */
 export interface SimTaskSpec {
-  /** Run time in ms; 0 for a task that lasts. */
+  /** Run time in ms; 0 for a task that runs until it is stopped. */
   ms?: number
+  /** CPU use in thousandths of a core. */
   cpu?: number
   fail?: boolean
   /** Time after which the task crashes its target, in ms. */
   crashMs?: number
 }
 
-/** What became of a run; `killed`: the target's life ended with the run on it. */
+/** Start or end of a run; `killed`: the target crashed during the run. */
 export type LedgerEvent = 'start' | 'killed' | RunEndKind
 
-/** One thing that a target has done. */
+/** An event of a run on a target. */
 export interface LedgerEntry<What = LedgerEvent> {
+  /** Monotonic time, in ms. */
   at: number
   what: What
   task: string
@@ -33,70 +35,72 @@
   target: string
 }
 
-/** What a watcher sees; `listed`, `noted`: the owner was told of an end, has acknowledged it. */
+/** Event passed to a watcher; `listed`: an end was reported to the owner; `noted`: acknowledged. */
 export type WatchedEntry = LedgerEntry<LedgerEvent | 'listed' | 'noted'>
 
-/** Everything that the targets of a test have done, for its checks. */
+/** The events of all targets of a test, for its checks. */
 export interface RunLedger {
   /** Starts and ends in the order in which they happened. */
   entries: LedgerEntry[]
-  /** Told of each entry and of each acknowledged end when it happens. */
+  /** Called synchronously for each entry, and for each report and acknowledgement of an end. */
   watch?(entry: WatchedEntry): void
 }
 
-/** What goes wrong. Each field can be changed at any time. */
+/** Injected faults. Each field can be changed at any time. */
 export interface TargetFaults {
-  /** Answers nothing, and does nothing that is asked. */
+  /** Orders are neither carried out nor answered. */
   silent: boolean
-  /** Carries orders out and answers nothing. */
+  /** Orders are carried out but not answered. */
   mute: boolean
-  /** Time by which the answer to each order is late, in ms. */
+  /** Delay of the answer to each order, in ms. */
   delayMs: number
-  /** Orders are carried out after this time and never answered, in ms; 0 for none. */
+  /** Delay after which orders are carried out without an answer, in ms; 0 switches this off. */
   lateMs: number
-  /** Whether the next order is one of these; by default each is. */
+  /** Whether `lateMs` applies to the next order; by default it applies to each. */
   isLate(): boolean
-  /** Every task fails at once. */
+  /** Tasks that are started end as failed after their run time. */
   failsAll: boolean
-  /** Tasks do not get on. */
+  /** Tasks that are started never end by themselves. */
   hangs: boolean
-  /** How far its tasks say that they are, in percent; undefined for what is true. */
+  /** Progress reported for all tasks, in percent; undefined reports the actual progress. */
   percent: number | undefined
-  /** Tasks that are started take so many times as long. */
+  /** Factor by which the run time of tasks that are started is multiplied. */
   slowness: number
 }
 
-/** Word of a target on a start order. */
+/** Answer of a target to a start order. */
 export type StartVerdict = 'accepted' | 'fence' | 'old' | 'late' | 'room'
 
-/** A run that is present. */
+/** A run that has not ended. */
 interface ActiveRun {
   task: string
   run: number
   spec: SimTaskSpec
   timer: NodeJS.Timeout | undefined
+  /** Checkpoint given with the start order. */
   saved: string
-  /** Share of its speed that was ordered, in percent. */
+  /** Ordered pace, in percent of full speed. */
   pace: number
   startedAt: number
-  /** Time that it takes, in ms; Infinity for one that never ends. */
+  /** Run time in ms; Infinity for a run that hangs. */
   takesMs: number
 }
 
-/** How far a run has got, in percent; tasks that last are at work at once. */
+/** Progress of a run in percent. For tasks without a run time it is 100 from the start. */
 function progressPercent({ spec, startedAt, takesMs }: ActiveRun): number {
   if (spec.ms === 0) return 100
   return Math.min(100, Math.floor((100 * (monotonicMs() - startedAt)) / takesMs))
 }
 
-/** One life of a target. */
+/** One incarnation of a target. */
 export interface SimTarget {
   readonly id: string
-  /** Start of this life, in ms since 1970. */
+  /** Start of this incarnation, in ms since 1970. */
   readonly lifeStartMs: number
-  /** Start of this life on the monotonic clock, in ms. */
+  /** Start of this incarnation in monotonic time, in ms. */
   readonly startedAt: number
   faults: TargetFaults
+  /** Clock of the target, against which leases are checked, in ms. */
   clockMs(): number
   start(order: {
     task: string
@@ -106,33 +110,37 @@
     token: number
     saved: string
   }): StartVerdict
-  /** False when the token is fenced. */
+  /** Stops a run after `stopMs`. False if the token is fenced. */
   stop(task: string, run: number, token: number): boolean
+  /** Sets the pace of a run. False if the token is fenced. */
   pace(task: string, run: number, percent: number, token: number): boolean
-  /** Undefined when the token is fenced. */
+  /**
+   * Extends the lease to `untilMs` if given, acknowledges ends up to `lastSeen` and reports the
+   * active runs and the ends left. Undefined if the token is fenced.
+   */
   sync(order: {
     token: number
     lastSeen: number
     untilMs: number | undefined
   }): { runs: ReportedRun[]; ends: ReportedEnd[] } | undefined
-  /** Waits for an end that is not acknowledged, at most so long. */
+  /** Resolves once an unacknowledged end exists, after a crash, or after `ms`. */
   waitForEnd(ms: number): Promise<void>
-  /** Ends this life: everything on it dies without a word. */
+  /** Ends this incarnation and kills its runs without reporting their ends. */
   crash(): void
 }
 
-/** Starts a life without runs. */
+/** Starts an incarnation without runs. */
 export function createSimTarget(opts: {
   id: string
   capacity: Resources
   ledger: RunLedger
-  /** Start of this life, in ms since 1970; the current time by default. */
+  /** Start of this incarnation, in ms since 1970; the current time by default. */
   lifeStartMs?: number
-  /** Clock of the target at the start of this life, in ms; 1000 by default. */
+  /** Clock of the target at the start of this incarnation, in ms; 1000 by default. */
   initialClockMs?: number
   /** Whether starts that exceed the capacity are refused; true by default. */
   enforcesCapacity?: boolean
-  /** Ms that a stop takes. */
+  /** Time from a stop order to the end of the run, in ms; 5 by default. */
   stopMs?: number
   /** Called when the target crashes. */
   crashed?: () => void
@@ -224,7 +232,7 @@
     runs.clear()
     faults.silent = true
     opts.crashed?.()
-    // Ends open polls, as a reset connection does.
+    // Ends pending long polls, like a connection reset.
     for (const wake of waiters.splice(0)) wake()
   }
 
--- a/playground/sim/storeHandlers.ts
+++ b/playground/sim/storeHandlers.ts
@@ -1,17 +1,17 @@
-/** The store of the stand-in platform in the platform's wire format. */
+/** HTTP handlers of the stand-in platform for the store. */
 import type { RowKey, RowStore } from '../../src/ports/index.js'
 import { sleep } from '../../src/shared/index.js'
 import type { Body, Handler, Reply } from './wire.js'
 
-/** Time after which an unanswered call is cut, in ms: longer than any client waits. */
+/** Time after which a call without an outcome is answered 500, in ms; clients time out earlier. */
 const UNANSWERED_CUT_MS = 5000
 
-/** A surrogate without its other half, which no text has. */
+/** A lone surrogate, which valid text does not contain. */
 const LONE_SURROGATE = /[\uD800-\uDFFF]/u
-/** A byte that no UTF-8 text has. */
+/** A byte that valid UTF-8 does not contain. */
 const INVALID_UTF8_BYTE = Buffer.from([0xff])
 
-/** Each lone surrogate stands for a byte that is no text, in rows of another writer. */
+/** Encodes a value as base64. Each lone surrogate becomes a byte that is invalid in UTF-8. */
 function encode(text: string): string {
   if (!LONE_SURROGATE.test(text)) return Buffer.from(text, 'utf8').toString('base64')
   const [first, ...more] = text.split(LONE_SURROGATE).map((each) => Buffer.from(each))
@@ -33,7 +33,7 @@
   ...(row.value === undefined ? { gone: true } : { value: encode(row.value) }),
 })
 
-/** Answers for the store; a refused call gets 503 and an unanswered one nothing in time. */
+/** Handlers of the store. A refused call is answered 503, one of unknown outcome 500 after 5 s. */
 export function storeHandlers(store: RowStore): Record<string, Handler> {
   const failed = async (failure: string): Promise<Reply> => {
     if (failure === 'compacted') return [410]
--- a/playground/sim/targetHandlers.ts
+++ b/playground/sim/targetHandlers.ts
@@ -1,9 +1,9 @@
-/** Targets of the stand-in platform in the platform's wire format. */
+/** HTTP handlers of the stand-in platform for targets. */
 import type { SimVm } from './simFleet.js'
 import type { SimTarget } from './simTarget.js'
 import type { Body, Handler, Reply } from './wire.js'
 
-/** Answers for the target that runs on a VM now. */
+/** Handlers of the current target of a VM. Requests to another target id are answered 421. */
 export function targetHandlers(vm: SimVm): Record<string, Handler> {
   const forCurrentTarget =
     (handler: (target: SimTarget, body: Body) => Reply | Promise<Reply>): Handler =>
--- a/playground/sim/wire.ts
+++ b/playground/sim/wire.ts
@@ -1,17 +1,17 @@
-/** HTTP servers of the stand-in platform, by tables of handlers. */
+/** HTTP servers of the stand-in platform, defined by tables of handlers. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { parseJson } from '../../src/shared/index.js'
 
-/** Where all servers of the stand-in listen. */
+/** Address on which all servers of the stand-in listen. */
 export const HOST = '127.0.0.1'
 
-/** Body of a request. */
+/** JSON body of a request. */
 export type Body = Record<string, unknown>
-/** Status and body of an answer. */
+/** Status and JSON body of an answer. */
 export type Reply = [status: number, body?: unknown]
-/** Answers one kind of request. */
+/** Answers the requests of one method and path. */
 export type Handler = (req: {
   body: Body
   query: URLSearchParams
@@ -19,8 +19,9 @@
 }) => Reply | Promise<Reply>
 
 /**
- * The body of a request; undefined when its sender is gone before it is whole, or when it is
- * meant for a process that had this port before, such as a node that was killed.
+ * Reads the JSON body of a request. Undefined if the client disconnects before the body is
+ * complete, or if the body is not JSON: a request may be meant for a process that had this port
+ * before, such as a node that was killed.
  */
 async function readBody(req: IncomingMessage): Promise<Body | undefined> {
   const chunks: Buffer[] = []
@@ -53,7 +54,11 @@
   res.end(reply === undefined ? '' : JSON.stringify(reply))
 }
 
-/** Opens a server on a free port unless one is named. */
+/**
+ * Opens a server.
+ * @param handlers by method and path, for example `GET /machines`
+ * @param port port to listen on; 0 picks a free one
+ */
 export async function listen(
   handlers: Record<string, Handler>,
   port = 0,
@@ -63,5 +68,5 @@
   return server
 }
 
-/** Port on which a server listens. */
+/** Port on which `server` listens. */
 export const portOf = (server: Server): number => (server.address() as AddressInfo).port
--- a/playground/sim/wireServer.ts
+++ b/playground/sim/wireServer.ts
@@ -1,7 +1,6 @@
 /**
- * Stand-in for the users' platform over HTTP, in its own wire format: store, list of VMs,
- * moves and maintenance, and targets that run tasks. For tests of the real programs, and
- * for `npm start`.
+ * Stand-in for the users' platform over HTTP, in the platform's wire format: store, list of VMs,
+ * moves and maintenance, and targets that run tasks. Tests run the real programs against it.
  */
 import type { Server } from 'node:http'
 import type { Resources, RowKey } from '../../src/ports/index.js'
@@ -15,41 +14,43 @@
 import { targetHandlers } from './targetHandlers.js'
 import { HOST, listen, portOf } from './wire.js'
 
-/** Time between two heartbeats of a target, in ms. */
+/** Interval of the heartbeats of targets, in ms. */
 const HEARTBEAT_MS = 1500
 
-/** The stand-in, while it runs. */
+/** A running stand-in. */
 export interface SimPlatform {
   table: RowTable
   ledger: RunLedger
   vms: SimVm[]
   storeAddress: string
   cloudAddress: string
-  /** Waves by VM that had its maintenance. */
+  /** Maintenance that was carried out, in order. */
   maintained: MaintenanceRecord[]
   putConfiguration(text: unknown): void
   putWave(id: number, vms: string[], durationS: number, maximum: number): void
   waveStatus(id: number): string | undefined
-  /** Ends the life on a VM without a word. */
+  /** Crashes the target on a VM, removes its row and marks the VM as down. */
   crash(vm: SimVm): void
-  /** Starts a new life on a VM that crashed, under `id` or, by default, a new id. */
+  /** Starts a new incarnation on a VM that is down, under `id` or, by default, a new id. */
   revive(vm: SimVm, id?: string): void
-  /** Changes what the list of targets shows of a VM. */
+  /** Changes the listing of a VM in the list of targets. */
   list(vm: SimVm, listing: Listing): void
   close(): Promise<void>
 }
 
-/** Size and speed of the stand-in. */
+/** Options of {@link startSimPlatform}. */
 export interface SimPlatformOptions {
-  /** Pools with the number of their VMs. */
+  /** Number of VMs by pool. */
   pools: Record<string, number>
+  /** Halls to which the VMs of each pool are assigned in turn. */
   halls: string[]
+  /** Capacity of each VM. */
   capacity: Resources
-  /** Time that a move or maintenance takes, in ms. */
+  /** Duration of a move or maintenance, in ms. */
   awayMs: number
 }
 
-/** Starts the stand-in with one listener per VM. */
+/** Starts the stand-in with a server for the store, one for the cloud and one per VM. */
 export async function startSimPlatform(opts: SimPlatformOptions): Promise<SimPlatform> {
   const table = createRowTable()
   const ledger: RunLedger = { entries: [] }
