--- a/playground/soak/clients.ts
+++ b/playground/soak/clients.ts
@@ -1,4 +1,4 @@
-/** Clients of a run: they hand jobs in, ask for states, cancel, and check each answer. */
+/** Clients of a run: they submit jobs, query states, cancel jobs and check each answer. */
 import { errors } from 'undici'
 import type { Dispatcher } from 'undici'
 import { sleep } from '../../src/shared/index.js'
@@ -9,30 +9,33 @@
 import type { SoakNode } from './nodes.js'
 import type { Report, RunChecks } from './runChecks.js'
 
-/** Host by which clients name all queues. */
+/** Host header of requests to all queues. */
 export const QUEUE_HOST = 'q.example'
-/** Attempts to hand a job in, and the longest pause between two, in ms. */
+/** Most attempts to submit a job, and the longest pause between two of them, in ms. */
 const MAX_SUBMIT_ATTEMPTS = 10
 const MAX_PAUSE_MS = 1000
-/** Pause after an attempt that nothing is known of, in ms. */
+/** Pause after an attempt without an answer, in ms. */
 const RETRY_PAUSE_MS = 200
-/** A job is known to all nodes so long after it was accepted, in ms. */
+/** Time after its acceptance within which a job is known to all nodes, in ms. */
 const VISIBILITY_MS = 3000
-/** A connection that ends so soon after a request was sent may have been ending before. */
+/**
+ * A connection that ends within this time of a request may have been closed before the request
+ * arrived, in ms.
+ */
 const KEEP_ALIVE_RACE_MS = 200
 
-/** What a client heard: a status, or that nothing was sent, or that no answer came. */
+/** Result of a call: an HTTP status, or that nothing was sent, or that no answer came. */
 interface CallResult {
   status: number | 'not sent' | 'no answer'
   state?: string | undefined
   retryAfterMs?: number
 }
-/** The job was not taken: it never runs. */
+/** Results after which the job was certainly not accepted and must never run. */
 const REJECTIONS: CallResult['status'][] = ['not sent', 429, 503]
-/** The job may have been taken: the same id is sent again. */
+/** Results after which the job may have been accepted; it is sent again under the same id. */
 const UNKNOWN_OUTCOMES: CallResult['status'][] = ['no answer', 502, 504]
 
-/** What must hold when callers are shown a state. */
+/** Conditions that must hold when a state is returned to callers. */
 const STATE_CHECKS: Record<string, (job: JobView) => boolean> = {
   queued: () => true,
   running: () => true,
@@ -44,20 +47,20 @@
 }
 const FINAL_STATES = ['completed', 'failed', 'cancelled']
 
-/** What clients do with a job. */
+/** Requests of clients for a job. */
 export interface Clients {
-  /** Sends a job until it is taken or surely is not. */
+  /** Submits a job until it is accepted; gives up after {@link MAX_SUBMIT_ATTEMPTS}. */
   submit(job: JobView): Promise<void>
   queryState(job: JobView): Promise<void>
   cancel(job: JobView): Promise<void>
 }
 
-/** Creates clients that use all nodes in turn. */
+/** Creates clients that send requests to all nodes round robin. */
 export function createClients(opts: {
   nodes: SoakNode[]
   checks: RunChecks
   disturbances: DisturbanceTracker
-  /** As `disturbances`, but for planned stops. */
+  /** Like `disturbances`, but without planned stops. */
   unplannedDisturbances: DisturbanceTracker
   report: Report
   writeTrace(what: string, more: object): void
@@ -65,7 +68,7 @@
   const { nodes, disturbances, unplannedDisturbances, report, writeTrace } = opts
   let nextNode = 0
 
-  /** A request that ended without an answer, against what nodes promise. */
+  /** Checks a request that ended without an answer against the guarantees of nodes. */
   function checkMissingReply(
     node: SoakNode,
     what: string,
@@ -130,7 +133,7 @@
     return JSON.stringify({ spec, steps: wireSteps })
   }
 
-  /** Checks a state against that which callers had been shown when they asked for it. */
+  /** Checks a state against the final one, if any, that was returned before the request. */
   function checkState(job: JobView, state: string, shown: string | undefined): void {
     const isRight = STATE_CHECKS[state]?.(job) ?? false
     if (!isRight || (shown !== undefined && shown !== state)) {
--- a/playground/soak/disturbances.ts
+++ b/playground/soak/disturbances.ts
@@ -1,24 +1,27 @@
-/** Knows whether nodes or the store were lately disturbed: bounds in time hold in calm. */
+/**
+ * Tracks disturbances of nodes and the store. Time bounds are only checked while the system is
+ * undisturbed.
+ */
 
-/** Time without any disturbance after which the system is calm, in ms. */
+/** Time since the last disturbance after which the system counts as undisturbed, in ms. */
 const UNDISTURBED_AFTER_MS = 4000
-/** A look that comes so late shows that the soak's own process stood still, in ms. */
+/** Delay of a check, in ms, that shows that the soak's own process was stalled. */
 const STALL_MS = 500
 const CHECK_INTERVAL_MS = 100
 
-/** Disturbances of nodes and the store. */
+/** Record of disturbances. */
 export interface DisturbanceTracker {
-  /** A disturbance begins; call the result when it ends. */
+  /** Records the begin of a disturbance; call the result when it ends. */
   begin(): () => void
-  /** Time since the last disturbance, in ms; 0 while one lasts. */
+  /** Time since the end of the last disturbance, in ms; 0 during a disturbance. */
   undisturbedMs(): number
   isUndisturbed(): boolean
-  /** How often the soak's own process, and all targets with it, stood still. */
+  /** Number of stalls of the soak's own process, which also runs all targets. */
   ownStalls(): number
   close(): void
 }
 
-/** Creates the record of a system that is calm. */
+/** Creates a tracker without disturbances. */
 export function createDisturbanceTracker(): DisturbanceTracker {
   let active = 0
   let lastAt = -Infinity
--- a/playground/soak/faultKinds.ts
+++ b/playground/soak/faultKinds.ts
@@ -1,4 +1,4 @@
-/** Kinds of faults: what they hit, how long they usually last, and what they do. */
+/** Kinds of faults: the group they affect, their usual duration and their effect. */
 import { sleep } from '../../src/shared/index.js'
 import type { StoreFaults } from '../sim/rowTable.js'
 import type { SimVm } from '../sim/simFleet.js'
@@ -10,46 +10,46 @@
 import type { Fault } from './plan.js'
 import type { WatchedTarget } from './stallDetector.js'
 
-/** A target behind its link. */
+/** A target with the proxy in front of it. */
 export interface SoakTarget extends WatchedTarget {
   link: FaultLink
 }
 
-/** What faults act on. */
+/** Objects that faults act on. */
 export interface FaultContext {
   platform: SimPlatform
   nodes: SoakNode[]
   targets: SoakTarget[]
   /** Pools of the queues. */
   pools: string[]
-  /** Targets that drain, with the time of the word in the list. */
+  /** Ids of draining targets with the monotonic time at which the list said so, in ms. */
   draining: Map<string, number>
-  /** Where an order to an entry of another writer would arrive. */
+  /** Address in entries of another writer; no order may arrive there. */
   trapAddress: string
   changeConfiguration(fault: Fault): void
   orderWave(fault: Fault): void
 }
 
 /**
- * What a fault hits; `planned`: what operators and other programs do; `wave`: maintenance;
- * `restart`: restarts of targets under the same id.
+ * What a fault affects; `planned`: actions of operators and other programs; `wave`: waves of
+ * maintenance; `restart`: restarts of targets under the same id.
  */
 export type FaultGroup =
   'node' | 'store' | 'target' | 'pool' | 'planned' | 'wave' | 'restart'
-/** Ends a fault. */
+/** Function that ends a fault. */
 type Undo = () => unknown
 
 /** One kind of fault. */
 export interface FaultKind {
   group: FaultGroup
-  /** Usual time from its beginning to its end, in ms. */
+  /** Usual duration, in ms. */
   usualMs: number
   begin(ctx: FaultContext, fault: Fault): Undo | void
 }
 
-/** Time from the word in the list to the end of a draining target, in ms. */
+/** Time from the `draining` entry in the list to the end of the target, in ms. */
 const DRAIN_MS = 2500
-/** Time for which the targets that are left in a pool are bad, in ms. */
+/** Time for which the targets left in a pool fail or hang, in ms. */
 const DEGRADED_MS = 2000
 const SHRINK_MS = 15_000
 
@@ -61,7 +61,7 @@
   begin: ({ nodes }, fault) => act(pick(nodes, fault)),
 })
 
-/** Faults of the store that are switched on, and how it is without them. */
+/** Faults of the store that kinds switch on, and their values in a healthy store. */
 type StoreSwitches = Pick<StoreFaults, 'delayMs' | 'down' | 'broken' | 'lostShare'>
 const HEALTHY_STORE: StoreSwitches = {
   delayMs: 0,
@@ -151,12 +151,12 @@
   return () => link.cut.clear()
 }
 
-/** Lives of targets work badly for a while. */
+/** Sets faults on the current targets of `vms`. */
 const degrade = (vms: SimVm[], faults: Partial<TargetFaults>): Undo => {
   const targets = vms.flatMap(({ target }) => target ?? [])
   for (const target of targets) Object.assign(target.faults, faults)
   const healthy = { failsAll: false, hangs: false, slowness: 1 }
-  return () => targets.forEach((life) => Object.assign(life.faults, healthy))
+  return () => targets.forEach((target) => Object.assign(target.faults, healthy))
 }
 
 const FAILS = { failsAll: true }
@@ -170,7 +170,7 @@
     up.filter(({ state }) => state === 'down').forEach((vm) => platform.revive(vm))
 }
 
-/** Crashes a target and starts its next life under the same id. */
+/** Crashes a target and starts its next incarnation under the same id. */
 function restartTarget(vm: SimVm, ctx: FaultContext): Undo | void {
   const { target } = vm
   if (!target || vm.state !== 'up') return
@@ -182,14 +182,14 @@
   }
 }
 
-/** Targets that a pool keeps when it shrinks. */
+/** VMs that stay up when a pool shrinks. */
 const survivorsOf = (vms: SimVm[], { level }: Fault): SimVm[] =>
   vms.slice(0, level < 0.6 ? 1 : 2)
 
 const shrink = (vms: SimVm[], ctx: FaultContext, fault: Fault): Undo =>
   crash(vms.slice(survivorsOf(vms, fault).length), ctx)
 
-/** Lets a target drain, end, and come back as another life. */
+/** Drains a target, ends it and starts another one on its VM. */
 function drain(vm: SimVm, ctx: FaultContext): Undo | void {
   const target = vm.target
   if (!target) return
@@ -201,7 +201,7 @@
   }
 }
 
-/** A target's entry goes, or is overwritten with `text`, while its life goes on. */
+/** Removes a target's entry, or overwrites it with `text`, while the target keeps running. */
 function unlist(vm: SimVm, { platform }: FaultContext, text?: string): Undo | void {
   const target = vm.target
   if (!target || vm.listing !== 'ready') return
@@ -214,7 +214,7 @@
   }
 }
 
-/** All kinds; the order matters to the plans that seeds give. */
+/** All kinds by name. Their order determines the plan that a seed gives. */
 export const FAULT_KINDS: Record<string, FaultKind> = {
   nodePause: onNode(3000, (node) => {
     node.signal('SIGSTOP')
@@ -270,8 +270,8 @@
   poolSlow: onPool(4000, (vms, _ctx, fault) => degrade(vms, slowness(fault))),
   poolShrinks: onPool(SHRINK_MS, shrink),
   poolShrinksToBad: onPool(SHRINK_MS, (vms, ctx, fault) => {
-    const well = degrade(survivorsOf(vms, fault), fault.which % 3 === 0 ? HANGS : FAILS)
-    setTimeout(well, DEGRADED_MS)
+    const undo = degrade(survivorsOf(vms, fault), fault.which % 3 === 0 ? HANGS : FAILS)
+    setTimeout(undo, DEGRADED_MS)
     return shrink(vms, ctx, fault)
   }),
   nodeReload: plannedFault(100, ({ nodes }, fault) =>
--- a/playground/soak/faultLink.ts
+++ b/playground/soak/faultLink.ts
@@ -1,34 +1,34 @@
-/** A proxy on the loopback that delays, resets, cuts and silences connections. */
+/** TCP proxy on the loopback interface that delays, resets, blocks or silences connections. */
 import { connect, createServer } from 'node:net'
 import type { Socket } from 'node:net'
 import { HOST } from '../sim/wire.js'
 
-/** Time between two looks at bytes that are held back, in ms. */
+/** Interval at which held-back bytes are forwarded, in ms. */
 const STEP_MS = 5
 
-/** Way of bytes: towards the server or back to the client. */
+/** Direction of bytes: up to the server or down to the client. */
 type Direction = 'up' | 'down'
 
-/** The proxy, while it runs. */
+/** A running proxy. */
 export interface FaultLink {
   address: string
   port: number
-  /** Bytes are so late, in ms. */
+  /** Delay of all bytes, in ms. */
   delayMs: number
-  /** Ways on which bytes are held for as long as they stand here. */
+  /** Directions in which bytes are held back. */
   cut: Set<Direction>
-  /** Breaks all open connections. */
+  /** Resets all open connections. */
   reset(): void
-  /** Nothing passes open connections any more; new ones work. */
+  /** Drops all further bytes of open connections without closing them; new ones work. */
   silence(): void
-  /** When something was wrong for the last time; now, while something is. */
+  /** Monotonic time of the last fault, in ms; the current time during a delay or cut. */
   lastFaultAt(): number
   close(): void
 }
 
-/** One direction of a connection: order is kept, bytes wait while they must. */
+/** One direction of a connection. Bytes are delayed or held back, and stay in order. */
 interface Pipe {
-  /** Takes bytes, or the end of the connection. */
+  /** Queues bytes; without any, queues the end of the connection. */
   push(data?: Buffer): void
   flush(): void
   isSilent: boolean
@@ -57,7 +57,7 @@
   return pipe
 }
 
-/** Opens the proxy before a port of this machine. */
+/** Opens a proxy in front of a port on the loopback interface. */
 export async function openFaultLink(toPort: number): Promise<FaultLink> {
   const pipes = new Set<Pipe>()
   const sockets = new Set<Socket>()
@@ -69,7 +69,7 @@
     pipes.add(pipe)
     sockets.add(from)
     from.on('data', (data: Buffer) => pipe.push(data))
-    // The close that follows is all that matters.
+    // An error is always followed by `close`, which is handled below.
     from.on('error', () => undefined)
     from.on('close', () => {
       sockets.delete(from)
--- a/playground/soak/foreignEntry.ts
+++ b/playground/soak/foreignEntry.ts
@@ -1,10 +1,10 @@
-/** Entries in the list of targets by another writer: none of them names a target to use. */
+/** Entries of another writer in the list of targets. None of them describes a usable target. */
 import type { Fault } from './plan.js'
 
 /** Size of the longest entry, in bytes. */
 const HUGE = 1_000_000
 
-/** Whole texts, and what is wrong with an entry that would be good without it. */
+/** Complete texts, and fields that make an otherwise valid entry unusable. */
 const SHAPES: (string | Record<string, unknown>)[] = [
   'not JSON{',
   '',
@@ -27,7 +27,7 @@
   { labels: 5 },
 ]
 
-/** The text of such an entry; where it names an address, it is `address`. */
+/** The text of an entry that the fault selects. A valid address in it is always `address`. */
 export function foreignEntry({ which }: Fault, service: string, address: string): string {
   const shape = SHAPES[which % SHAPES.length]!
   if (typeof shape === 'string') return shape
--- a/playground/soak/injectFault.ts
+++ b/playground/soak/injectFault.ts
@@ -1,14 +1,14 @@
-/** Plays the faults of a plan, and says when they disturb the system. */
+/** Injects the faults of a plan and records their disturbances. */
 import { sleep } from '../../src/shared/index.js'
 import type { DisturbanceTracker } from './disturbances.js'
 import { FAULT_KINDS } from './faultKinds.js'
 import type { FaultContext } from './faultKinds.js'
 import type { Fault } from './plan.js'
 
-/** Kinds that disturb when they come and when they go: the others live on without the node. */
+/** Kinds that disturb only when they begin and end; in between, the other nodes take over. */
 const DISTURBS_AT_EDGES: readonly string[] = ['nodeAway']
 
-/** What is disturbed by a kind of fault: planned stops spoil only what `disturbances` says. */
+/** The trackers that record a kind of fault. Planned stops are recorded in `disturbances` only. */
 function trackersOf(
   name: string,
   { disturbances, unplannedDisturbances }: Trackers,
@@ -23,7 +23,7 @@
   unplannedDisturbances: DisturbanceTracker
 }
 
-/** Plays one fault from its beginning to its end. */
+/** Injects a fault and resolves once it is undone. */
 export async function injectFault(
   ctx: FaultContext,
   trackers: Trackers,
--- a/playground/soak/jobView.ts
+++ b/playground/soak/jobView.ts
@@ -1,7 +1,7 @@
-/** What a run of the soak knows of each job from outside: from its callers and its targets. */
+/** State of each job of a run, as observed by its callers and on the targets. */
 import type { LedgerEvent, WatchedEntry } from '../sim/simTarget.js'
 
-/** A queue as callers know it. */
+/** A queue with the settings that callers rely on. */
 export interface SoakQueue {
   name: string
   path: string
@@ -9,14 +9,14 @@
   maxAttempts: number
 }
 
-/** One step as callers ask for it; `after` are the earlier steps that it waits for. */
+/** A step of a submitted job; `after` holds the indices of the steps that it depends on. */
 export interface StepView {
   count: number
   cpu: number
   after: number[]
 }
 
-/** How a run ended, and whether its owner was told of that and has acknowledged it. */
+/** End of a run, with whether it was reported to the owner and acknowledged by it. */
 interface EndView {
   what: LedgerEvent
   run: number
@@ -26,7 +26,7 @@
   isNoted: boolean
 }
 
-/** One task with the run that goes on, if any, and the ends of the earlier ones. */
+/** A task with its active run, if any, and the ends of its earlier runs. */
 export interface TaskView {
   name: string
   step: number
@@ -35,7 +35,7 @@
   ends: EndView[]
 }
 
-/** One job. */
+/** A job with its tasks. */
 export interface JobView {
   id: string
   queue: SoakQueue
@@ -43,16 +43,16 @@
   steps: StepView[]
   isLasting: boolean
   tasks: TaskView[]
-  /** Some attempt to hand it in may have been taken. */
+  /** Whether some attempt to submit it may have been accepted. */
   mayBeTaken: boolean
   acceptedAt?: number
   cancelSentAt?: number
   cancelAckedAt?: number
-  /** Its final state, once callers were shown one. */
+  /** Final state that was returned to callers. */
   outcome?: string
 }
 
-/** The tasks of a job that has not run. */
+/** Creates the tasks of a job that has not run. */
 export const tasksOf = (id: string, steps: StepView[]): TaskView[] =>
   steps.flatMap(({ count }, step) =>
     Array.from({ length: count }, (_, index): TaskView => {
@@ -61,11 +61,11 @@
     }),
   )
 
-/** How many runs of a task ended so; with `noted` only what its owner has acknowledged. */
+/** Number of ends of one kind; with `noted`, only those that the owner has acknowledged. */
 export const countEnds = (task: TaskView, what: LedgerEvent, noted = false): number =>
   task.ends.filter((end) => end.what === what && (end.isNoted || !noted)).length
 
-/** Whether all tasks of the earlier steps that a task waits for have ended well. */
+/** Whether all tasks of the steps that a task depends on are done. */
 export const areDependenciesDone = (
   { tasks, steps }: JobView,
   { step }: TaskView,
@@ -74,7 +74,7 @@
     (other) => !steps[step]!.after.includes(other.step) || countEnds(other, 'done') > 0,
   )
 
-/** Whether a task has used up its attempts as far as its owner may know: the job is over. */
+/** Whether a task has used up its attempts, by the failures reported to its owner. */
 export const hasExhaustedAttempts = ({ tasks, queue, isLasting }: JobView): boolean => {
   const isReportedFailure = ({ what, isListed }: EndView) => what === 'failed' && isListed
   const isExhausted = ({ ends }: TaskView) =>
@@ -82,7 +82,7 @@
   return !isLasting && tasks.some(isExhausted)
 }
 
-/** Takes a start, an end or the word of an end over from a target. */
+/** Applies an event of a target to a task. */
 export function recordEntry(task: TaskView, entry: WatchedEntry): void {
   const { what, run, target, at } = entry
   if (what === 'start') {
--- a/playground/soak/main.ts
+++ b/playground/soak/main.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the soak by hand: `--seeds N --from K` draws that many plans; with files, the plans in
- * them are played instead. `--parallel`, `--seconds` and `--dir` say how many at a time, how
- * long faults come, and where the logs go.
+ * Command line of the soak. `--seeds N --from K` runs the plans of the N seeds from K on; file
+ * arguments run the plans in these files instead. `--parallel` sets the number of concurrent
+ * runs, `--seconds` the time during which faults begin, and `--dir` the directory of the logs.
  */
 import { basename, join } from 'node:path'
 import { parseArgs } from 'node:util'
@@ -20,7 +20,7 @@
   },
 })
 
-/** Plans by the names of their logs. */
+/** The plans to run, with the names of their log directories. */
 function plans(): [name: string, plan: SoakPlan][] {
   if (positionals.length > 0) {
     return positionals.map((file) => [basename(file, '.json'), readPlan(file)])
@@ -49,5 +49,5 @@
 }
 
 await Promise.all(Array.from({ length: Number(values.parallel) }, playPlans))
-console.log(`${failed} of the seeds broke a promise; logs: ${values.dir}`)
+console.log(`${failed} plans violated a guarantee; logs: ${values.dir}`)
 process.exitCode = failed === 0 ? 0 : 1
--- a/playground/soak/nodes.ts
+++ b/playground/soak/nodes.ts
@@ -1,4 +1,4 @@
-/** Nodes of a run: processes that are paused, stopped, killed and started again. */
+/** Node processes of a run, which faults pause, stop, kill and restart. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { closeSync, fstatSync, openSync, statSync } from 'node:fs'
@@ -10,41 +10,41 @@
 import { openFaultLink } from './faultLink.js'
 import type { FaultLink } from './faultLink.js'
 
-/** Time that a process has to stop before it is killed, in ms. */
+/** Time after which a process that was asked to stop is killed, in ms. */
 const STOP_TIMEOUT_MS = 6000
-/** Longest wait for a node to become ready, in ms. */
+/** Time-out of the wait for a node to become ready, in ms. */
 const READY_TIMEOUT_MS = 30_000
-/** Longest wait of a client for an answer, in ms. */
+/** Time-out of a client's request, in ms. */
 export const DEADLINE_MS = 3000
-/** Connections that clients keep to a node. */
+/** Size of the clients' connection pool to a node. */
 const CONNECTIONS = 6
 
-/** A node, over all of its processes. */
+/** A node across restarts of its process. */
 export interface SoakNode {
   name: string
-  /** Connections of the clients; they are used for as long as they are open. */
+  /** Connection pool of the clients. Connections are reused until they are closed. */
   clients: Pool
   storeLink: FaultLink
   isUp(): boolean
-  /** Whether it was told to stop and is not gone yet. */
+  /** Whether the process was asked to end and has not exited yet. */
   isStopping(): boolean
   start(): void
   signal(signal: NodeJS.Signals): void
   kill(): Promise<void>
-  /** Asks it to stop, as often as told, and kills it when it takes too long. */
+  /** Sends SIGTERM `times` times, and SIGKILL if the process has not exited after 6 s. */
   stop(times: number): Promise<void>
   waitUntilReady(): Promise<boolean>
   close(): Promise<void>
 }
 
-/** Starts a node behind a link of its own to the store; its log stands in `dir`. */
+/** Starts a node with its own proxy to the store; its log is written to `dir`. */
 export async function startSoakNode(opts: {
   platform: SimPlatform
   name: string
   hall: string
   withCloud: boolean
   dir: string
-  /** A process that nobody ended is gone. */
+  /** Called when the process exits without having been stopped or killed. */
   onUnexpectedExit(name: string, reason: string): void
 }): Promise<SoakNode> {
   const { platform, name, dir } = opts
@@ -78,7 +78,7 @@
         child = undefined
         resolve()
         if (stopRequested) return
-        // Until Node.js itself runs, nothing of the program can take a signal.
+        // Before Node.js runs the program, SIGHUP ends the process by default.
         const hadBegun = statSync(logFile).size > size
         if (signal === 'SIGHUP' && !hadBegun) start()
         else opts.onUnexpectedExit(name, `code ${code}, signal ${signal}`)
--- a/playground/soak/plan.ts
+++ b/playground/soak/plan.ts
@@ -1,4 +1,4 @@
-/** What happens in a run of the soak: drawn from a seed, or read from a file. */
+/** Plan of a run of the soak, drawn from a seed or read from a file. */
 import { readFileSync } from 'node:fs'
 import { z } from 'zod'
 import { createRandom, exponential } from '../random.js'
@@ -7,52 +7,56 @@
 import type { FaultGroup } from './faultKinds.js'
 
 const faultSchema = z.object({
-  /** Ms after the first job. */
+  /** Time after the first job, in ms. */
   at: z.number(),
   kind: z.string(),
-  /** Which of those that it may hit: an index, taken modulo their number. */
+  /** Index of the object affected, modulo the number of candidates. */
   which: z.number().int(),
+  /** Duration, in ms. */
   forMs: z.number(),
-  /** From 0 to 1: how bad, or which variant. */
+  /** Severity or variant, from 0 to 1. */
   level: z.number(),
 })
-/** One fault of a run. */
+/** A fault of a run. */
 export type Fault = z.infer<typeof faultSchema>
 
 const planSchema = z.object({
   seed: z.number().int(),
   nodes: z.number().int().min(1),
-  /** Targets in each pool of a queue. */
+  /** Number of targets in the pool of each queue. */
   targets: z.number().int().min(1),
-  /** VMs in the pool of idle ones; without any, nodes cannot move VMs. */
+  /** Number of VMs in the idle pool. If it is 0, nodes have no access to the cloud interface. */
   idleVms: z.number().int(),
   jobsPerSecond: z.number(),
-  /** Share of jobs whose tasks fail on every target. */
+  /** Fraction of jobs whose tasks fail on every target, from 0 to 1. */
   hopelessShare: z.number(),
-  /** Time in which jobs come and faults begin, in ms. */
+  /** Time during which jobs are submitted and faults begin, in ms. */
   lengthMs: z.number(),
   faults: z.array(faultSchema),
 })
-/** All that is decided about a run before it begins. */
+/** Everything about a run that is determined in advance. */
 export type SoakPlan = z.infer<typeof planSchema>
 
-/** Mean time between two faults of these groups, in ms. */
+/** Mean interval of faults by group, in ms. */
 const MEAN_INTERVAL_MS = { target: 2500, pool: 9000, planned: 5000 } as const
-/** Mean time between two waves of maintenance, in ms, and what their draws begin with. */
+/**
+ * Mean interval of waves of maintenance, in ms, and the seed offset of their own generator, which
+ * leaves the other faults of a seed unchanged.
+ */
 const WAVE_INTERVAL_MS = 15_000
 const WAVE_SEED_OFFSET = 2_000_000
 /**
- * Mean time between two restarts of targets under the same id, in ms, and the seed offset of
- * their own generator, which leaves the other faults of a seed unchanged.
+ * Mean interval of restarts of targets under the same id, in ms, and the seed offset of their own
+ * generator, which leaves the other faults of a seed unchanged.
  */
 const RESTART_INTERVAL_MS = 6000
 const RESTART_SEED_OFFSET = 3_000_000
-/** The same of nodes and the store within one series, in ms. */
+/** Mean interval of faults of nodes and the store within a series, in ms. */
 const SERIES_INTERVAL_MS = 1200
-/** Series of faults of nodes and the store, and the calm between two, in ms. */
+/** Mean length of a series of faults of nodes and the store, and of the time between two, in ms. */
 const SERIES_MS = 7000
 const UNDISTURBED_MS = 12_000
-/** Each run begins with a calm stretch, in ms. */
+/** Time before the first series of a run, in ms. */
 const INITIAL_UNDISTURBED_MS = 6000
 
 function drawFault(random: Random, groups: FaultGroup[], at: number): Fault {
@@ -65,7 +69,7 @@
   return { at: Math.round(at), kind, which, forMs, level: random() }
 }
 
-/** Faults that come one after the other, each with its own length, so that they overlap. */
+/** Draws faults with exponentially distributed intervals. They may overlap. */
 function drawSeries(
   random: Random,
   groups: FaultGroup[],
@@ -81,7 +85,7 @@
   return faults
 }
 
-/** Series of faults of nodes and the store, with calm between them. */
+/** Draws series of faults of nodes and the store, with undisturbed time between them. */
 function drawDisturbedPeriods(random: Random, lengthMs: number): Fault[] {
   const faults: Fault[] = []
   let from = INITIAL_UNDISTURBED_MS
@@ -117,7 +121,7 @@
       ...groups.flatMap(([group, gapMs]) =>
         drawSeries(random, [group], gapMs, [1000, lengthMs]),
       ),
-      // Without control of VMs nobody can carry a wave out.
+      // Without the cloud interface no node can carry out a wave.
       ...(idleVms === 0
         ? []
         : drawSeries(waves, ['wave'], WAVE_INTERVAL_MS, [1000, lengthMs])),
@@ -126,6 +130,6 @@
   }
 }
 
-/** Reads a plan that was kept. */
+/** Reads a plan from a JSON file. */
 export const readPlan = (file: string): SoakPlan =>
   planSchema.parse(JSON.parse(readFileSync(file, 'utf8')))
--- a/playground/soak/run.ts
+++ b/playground/soak/run.ts
@@ -1,4 +1,4 @@
-/** One run of the soak: node processes, a stand-in of the platform, faults, and checks. */
+/** A run of the soak: node processes, a stand-in of the platform, faults and checks. */
 import { createWriteStream, mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { sleep } from '../../src/shared/index.js'
@@ -16,21 +16,21 @@
 import { createTraffic } from './traffic.js'
 import { createWaves } from './waves.js'
 
-/** Longest time in which all jobs end once all faults are over, in ms. */
+/** Time after the last fault within which all jobs and waves must end, in ms. */
 const SETTLE_TIMEOUT_MS = 30_000
-/** Time between two looks at all jobs, in ms. */
+/** Interval of the checks of all jobs and waves, in ms. */
 const CHECK_INTERVAL_MS = 50
-/** The traffic draws other numbers than the plan of the same seed. */
+/** Seed offset of the traffic, so that it draws other numbers than the plan. */
 const TRAFFIC_SEED_OFFSET = 1_000_000
 
-/** A promise that did not hold, so many ms after the first job. */
+/** A violated guarantee, with the time after the first job, in ms. */
 export interface Failure {
   promise: string
   detail: string
   atMs: number
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SoakResult {
   seed: number
   failures: Failure[]
@@ -38,13 +38,13 @@
   jobs: number
   runs: number
   longestStillMs: number
-  /** Share of the time in which bounds in time were checked. */
+  /** Fraction of the time during which time bounds were checked. */
   calmShare: number
-  /** How often the soak's own process stood still. */
+  /** Number of stalls of the soak's own process. */
   ownStalls: number
 }
 
-/** Runs a plan; the logs of all nodes and all that was seen stand in `dir`. */
+/** Runs a plan. Writes the plan, the logs of all nodes and a trace of all events to `dir`. */
 export async function runSoak(plan: SoakPlan, dir: string): Promise<SoakResult> {
   mkdirSync(dir, { recursive: true })
   writeFileSync(join(dir, 'plan.json'), JSON.stringify(plan, undefined, 2))
--- a/playground/soak/runChecks.ts
+++ b/playground/soak/runChecks.ts
@@ -1,35 +1,35 @@
-/** Checks each start and end, as targets see it, against what nodes promise. */
+/** Checks the starts and ends of runs on targets against the guarantees of nodes. */
 import type { WatchedEntry } from '../sim/simTarget.js'
 import type { DisturbanceTracker } from './disturbances.js'
 import { countEnds, areDependenciesDone, recordEntry } from './jobView.js'
 import type { JobView, TaskView } from './jobView.js'
 
-/** Latest start after the answer to a cancel, in ms; the second one also out of disturbances. */
+/** Longest time from the answer to a cancel to a start, in ms; the second holds at any time. */
 const MAX_START_AFTER_CANCEL_MS = 3000
 const MAX_START_AFTER_CANCEL_DISTURBED_MS = 10_000
-/** Latest start on a target after its entry said that it drains, in ms. */
+/** Longest time from the `draining` entry of a target to a start on it, in ms. */
 const MAX_START_AFTER_DRAIN_MS = 2000
 
-/** Says that a promise is broken. */
+/** Reports a violated guarantee. */
 export type Report = (promise: string, detail: string) => void
 
-/** The jobs of a run, and the checks of what targets do with them. */
+/** The jobs of a run and the checks of their runs. */
 export interface RunChecks {
   jobs: Map<string, JobView>
-  /** Targets that drain, with the time of the word in the list. */
+  /** Ids of draining targets with the monotonic time at which the list said so, in ms. */
   draining: Map<string, number>
-  /** Processor room taken on each target, in thousandths of a core. */
+  /** CPU in use by target id, in thousandths of a core. */
   usedCpu: Map<string, number>
   onTargetEntry(entry: WatchedEntry): void
 }
 
-/** What must not hold when a task starts, or when the word of an end arrives. */
+/** Returns true if the start of a task, or the acknowledgement of an end, violates a guarantee. */
 type Rule = (job: JobView, task: TaskView, at: number, target: string) => boolean
 
 /**
  * Creates the checks without any job.
- * @param isReachable whether orders reach a target without delay: one that was held on its way
- *   is carried out late, and no bound in time holds for it
+ * @param isReachable whether orders reach a target without delay. An order that was held back is
+ *   carried out late, so no time bound applies to it.
  */
 export function createRunChecks(
   disturbances: DisturbanceTracker,
@@ -60,7 +60,7 @@
         ? MAX_START_AFTER_CANCEL_MS
         : MAX_START_AFTER_CANCEL_DISTURBED_MS),
   }
-  /** The word of an end stands for all time: no run may have begun since. */
+  /** An acknowledged end is final: no run may have started after it. */
   const NOTED_RULES: Record<string, Rule> = {
     'ran after its end': ({ isLasting }, { ends, startedAt }) =>
       !isLasting &&
--- a/playground/soak/setUp.ts
+++ b/playground/soak/setUp.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the platform as a run of the soak needs it. */
+/** Set-up of the stand-in platform for a run of the soak. */
 import { listen } from '../sim/wire.js'
 import type { Handler } from '../sim/wire.js'
 import { startSimPlatform } from '../sim/wireServer.js'
@@ -12,15 +12,15 @@
 
 /** Halls of nodes and targets. */
 export const HALLS = ['h1', 'h2']
-/** In one queue bad targets end jobs, in the other one jobs outlive them. */
+/** Failing targets use up the 3 attempts of the first queue, but rarely the 12 of the second. */
 export const QUEUES: SoakQueue[] = [
   { name: 'r-one', path: '/one/', service: 'one', maxAttempts: 3 },
   { name: 'r-two', path: '/two/', service: 'two', maxAttempts: 12 },
 ]
-/** Time that nodes have to reach a target again after its link was harmed, in ms. */
+/** Time that nodes have to reach a target again after a fault of its link, in ms. */
 const LINK_RECOVERY_MS = 2000
 
-/** A configuration; changes of it touch time-outs, and routes that no client uses. */
+/** A configuration. `change` alters time-outs, stretch factors and routes that no client uses. */
 export function configurationOf(version: number, change?: Fault): object {
   const { forMs = 0, level = 0, which = 0 } = change ?? {}
   const routes = QUEUES.map(({ name, path, service, maxAttempts }) => ({
@@ -48,7 +48,7 @@
   }
 }
 
-/** Starts the stand-in with the pools of a plan. */
+/** Starts the stand-in with the pools of a plan and the first configuration. */
 export async function startPlatform(plan: SoakPlan): Promise<SimPlatform> {
   const platform = await startSimPlatform({
     pools: { one: plan.targets, two: plan.targets, idle: plan.idleVms },
@@ -60,7 +60,7 @@
   return platform
 }
 
-/** Puts a link before each target. */
+/** Opens a proxy in front of each target and lists the target under its address. */
 export const linkTargets = ({ vms, list }: SimPlatform): Promise<SoakTarget[]> =>
   Promise.all(
     vms.map(async (vm): Promise<SoakTarget> => {
@@ -73,7 +73,7 @@
     }),
   )
 
-/** Opens the address that entries of other writers name: nothing may be ordered there. */
+/** Opens the server that entries of other writers point to. Reports each order that it receives. */
 export function openTrap(report: Report): ReturnType<typeof listen> {
   const reportOrder: Handler = ({ body }) => {
     report('order to a foreign entry', JSON.stringify(body))
--- a/playground/soak/stallDetector.ts
+++ b/playground/soak/stallDetector.ts
@@ -1,7 +1,7 @@
 /**
- * Follows every accepted job for its whole life: a job that may start and has room starts.
- * The fault that it guards against: a job had nothing running for seconds while tasks of it
- * could run, since its owner trusted none of the few targets of the pool.
+ * Checks that every accepted job makes progress: if a task may start and a target has room for
+ * it, some task of the job runs. Guards against an owner that suspects all of the few targets of
+ * a pool, so that a job has nothing running for seconds although its tasks could run.
  */
 import type { SimVm } from '../sim/simFleet.js'
 import type { SimTarget } from '../sim/simTarget.js'
@@ -10,31 +10,31 @@
 import type { JobView, TaskView } from './jobView.js'
 import type { Report, RunChecks } from './runChecks.js'
 
-/** Longest time for which a job stands still, in ms; for a task that lasts it is longer. */
+/** Longest time without a run of a job, in ms; tasks that run until stopped have more. */
 const MAX_STALL_MS = 3000
 const MAX_LASTING_TASK_STALL_MS = 6000
-/** A target counts once it has been of use so long, in ms: nodes must have heard of it. */
+/** Time after which nodes must know that a target is usable, in ms. */
 const DISCOVERY_MS = 1000
-/** Room that must be there, as a multiple of the need of the task. */
+/** Free CPU that a target must have, as a multiple of the task's need. */
 const ROOM_FACTOR = 2
-/** A run out of reach may go on so long: a lease of 6 s and the skew of clocks, in ms. */
+/** Longest time that a run may continue out of reach, in ms: a lease of 6 s plus clock skew. */
 const MAX_UNREACHABLE_RUN_MS = 6600
 
-/** A target as the watch sees it. */
+/** A target that the detector considers. */
 export interface WatchedTarget {
   vm: SimVm
   isReachable(): boolean
 }
 
-/** The watch. */
+/** Detector of jobs that do not run although they could. */
 export interface StallDetector {
-  /** Looks at all jobs; to be called all the time. */
+  /** Checks all jobs; to be called periodically. */
   check(): void
-  /** Longest time for which a job stood still in disturbances, in ms. */
+  /** Longest stall of a job in undisturbed time, in ms. */
   longestStallMs(): number
 }
 
-/** Creates the watch. */
+/** Creates a detector. */
 export function createStallDetector(opts: {
   checks: RunChecks
   disturbances: DisturbanceTracker
@@ -43,9 +43,9 @@
   report: Report
 }): StallDetector {
   const { checks, disturbances, targets, report } = opts
-  /** Since when each life of a target is of use. */
+  /** Monotonic time since which each incarnation of a target has been usable, in ms. */
   const usableSince = new WeakMap<SimTarget, number>()
-  /** Since when each job, or task that lasts, stands still. */
+  /** Monotonic time since which a job, or a task that runs until stopped, is stalled, in ms. */
   const stalledSince = new Map<string, number>()
   const reported = new Set<string>()
   let longestStall = 0
@@ -75,7 +75,7 @@
       return free >= ROOM_FACTOR * job.steps[task.step]!.cpu
     })?.vm
 
-  /** Whether a run may go on as far as a node can know. */
+  /** Whether the owner must assume that a run of the task is still active. */
   function mayRun({ active, ends }: TaskView, now: number): boolean {
     if (active) return true
     const last = ends.at(-1)
@@ -83,11 +83,11 @@
     return now - last.at < MAX_UNREACHABLE_RUN_MS
   }
 
-  /** Whether the life that the target `id` had at time `at` has ended. */
+  /** Whether the incarnation that the target `id` had at time `at` has ended. */
   const hasEnded = (id: string, at: number): boolean =>
     (currentIncarnation(id)?.startedAt ?? Infinity) > at
 
-  /** Whether the owner may know of an end that its target did not live to have acknowledged. */
+  /** Whether the owner may know of an end whose target ended before the acknowledgement. */
   const mayBeDone = ({ ends }: TaskView): boolean =>
     ends.some(
       ({ what, isListed, target, at }) =>
@@ -99,7 +99,7 @@
     !mayRun(task, now) &&
     (job.isLasting || (countEnds(task, 'done', true) === 0 && !mayBeDone(task)))
 
-  /** Where a task of these could run, while none of them runs. */
+  /** Reports a stall if none of `tasks` runs although one of them could for too long. */
   function checkTasks(job: JobView, tasks: TaskView[], key: string, now: number): void {
     const isRunning = tasks.some(({ active }) => active !== undefined)
     const task = isRunning ? undefined : tasks.find((each) => mayStart(job, each, now))
--- a/playground/soak/traffic.ts
+++ b/playground/soak/traffic.ts
@@ -1,4 +1,4 @@
-/** The jobs of a run: drawn from its seed, handed in, asked for, some cancelled. */
+/** Traffic of a run: jobs drawn from its seed are submitted and queried; some are cancelled. */
 import { sleep } from '../../src/shared/index.js'
 import { exponential } from '../random.js'
 import type { Random } from '../random.js'
@@ -7,30 +7,30 @@
 import type { JobView, SoakQueue, StepView } from './jobView.js'
 import type { SoakPlan } from './plan.js'
 
-/** Shares of jobs that are sent once more, cancelled, and that last. */
+/** Fractions of jobs that are sent again, are cancelled, or run until they are stopped. */
 const RESENT_SHARE = 0.1
 const CANCELLED_SHARE = 0.06
 const LASTING_SHARE = 0.04
-/** Share of jobs of one step, and the mean time of a task, in ms. */
+/** Fraction of jobs with one step, and the mean run time of a task, in ms. */
 const ONE_STEP_SHARE = 0.6
 const MEAN_TASK_MS = 500
-/** Longest pause before a job is sent once more, or cancelled, in ms. */
+/** Longest delay before a job is sent again or cancelled, in ms. */
 const MAX_RESEND_DELAY_MS = 3000
 const MAX_CANCEL_DELAY_MS = 1500
-/** A task that a slow target was given goes on so many times as long, at most. */
+/** Largest factor by which a slow target prolongs a task. */
 const MAX_SLOWDOWN = 15
-/** Time between two questions for a state, in ms. */
+/** Interval of queries for states, in ms. */
 const QUERY_INTERVAL_MS = 60
 
-/** The jobs and their callers. */
+/** Traffic of a run. */
 export interface Traffic {
-  /** Sends jobs until the time is over, and waits until their callers are done. */
+  /** Submits jobs for `lengthMs` and waits until all requests of their callers have ended. */
   run(lengthMs: number): Promise<void>
-  /** Asks for all jobs until each has ended or its time is over; returns those left. */
+  /** Queries all jobs until each has ended or timed out; returns those that have not ended. */
   settle(ms: number): Promise<JobView[]>
 }
 
-/** Time that a job may need by itself: all of its attempts, or one that is slow, in ms. */
+/** Longest run time of a job, in ms: all of its failing attempts, or one on a slow target. */
 function maxRunMs({ spec, queue }: JobView): number {
   const { ms, fail } = JSON.parse(spec) as { ms: number; fail: boolean }
   return ms * (fail ? queue.maxAttempts : MAX_SLOWDOWN)
--- a/playground/soak/waves.ts
+++ b/playground/soak/waves.ts
@@ -1,25 +1,25 @@
-/** Waves of maintenance that the operators of a run order. */
+/** Waves of maintenance of a run. */
 import { sleep } from '../../src/shared/index.js'
 import type { SimPlatform } from '../sim/wireServer.js'
 import type { Fault } from './plan.js'
 import type { Report } from './runChecks.js'
 
-/** Time that a wave is given, in s, and VMs that it names at most. */
+/** Time allowed for a wave, in s, and the most VMs in a wave. */
 const DURATION_S = 30
 const VMS_PER_WAVE = 3
-/** Time between two looks at the status of a wave, in ms. */
+/** Interval at which the status of a wave is read, in ms. */
 const STATUS_INTERVAL_MS = 200
 
-/** The waves of a run. */
+/** Orders and checks waves. */
 export interface Waves {
   orderWave(fault: Fault): void
-  /** Checks that no more VMs are away for a wave than it allows; to be called all the time. */
+  /** Checks that no wave has more VMs in maintenance than it allows; to be called periodically. */
   check(): void
-  /** Waits until all waves are said to be completed. */
+  /** Waits until the status of all waves is completed; reports those that are not in time. */
   settle(ms: number): Promise<void>
 }
 
-/** Creates the record without any wave. */
+/** Creates the checks without any wave. */
 export function createWaves(platform: SimPlatform, report: Report): Waves {
   const { vms, maintained } = platform
   const ordered = new Map<number, { names: string[]; maximum: number }>()
