--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * Brings up a platform, data halls with entries and keepers, and workers, all in this
- * process on loopback addresses. The playground and the end-to-end tests use it.
+ * Starts a stand-in platform, entries, keepers and worker VMs of several data halls in this
+ * process, on loopback addresses. Used by the playground and the end-to-end tests.
  */
 import { resolveConfig } from '../src/config/index.js'
 import type { ResolvedConfig, UserConfig } from '../src/config/index.js'
@@ -21,14 +21,14 @@
 
 const HOST = '127.0.0.1'
 
-/** Ports of one process. */
+/** Ports of an entry or a keeper. */
 interface Ports {
   port: number
   ops: number
   peer: number
 }
 
-/** One process of the cluster. */
+/** An entry or a keeper of the cluster. */
 export interface ClusterNode {
   id: string
   hall: string
@@ -42,19 +42,19 @@
 export interface ClusterOptions {
   halls: string[]
   entriesPerHall: number
-  /** Keeper processes per hall; 0 hosts the keeper in each entry. */
+  /** Keepers per hall; if 0, each entry hosts a keeper. */
   keepersPerHall: number
   workersPerHall: number
   seed: number
   table: RawTable
   log: (node: string, hall: string) => Logger
   /**
-   * First of the fixed ports; 0 takes free ones.
+   * First of the fixed ports; 0 picks free ports.
    * @default 0
    */
   basePort?: number
   behaviour?: Partial<TargetBehaviour>
-  /** Settings laid over the defaults, for every node. */
+  /** Settings of every node that override the defaults. */
   settings?: UserConfig
 }
 
@@ -65,9 +65,9 @@
   ledger: Ledger
   nodes: ClusterNode[]
   entries(): ClusterNode[]
-  /** Adds or replaces cells and accepts the table, as an operator would. */
+  /** Makes the table equal to `table` and accepts it; resolves to its epoch. */
   accept(table: RawTable): Promise<number>
-  /** Stops a node as planned and starts a fresh one with the same settings. */
+  /** Stops a node gracefully and starts a new one with the same settings. */
   restartNode(id: string): Promise<void>
   stop(): Promise<void>
 }
@@ -103,7 +103,7 @@
   return plans
 }
 
-/** Settings of one node, as its INI file would hold them. */
+/** Settings of a node, in the form of its INI file. */
 export function nodeSettings(
   plan: NodePlan,
   all: readonly NodePlan[],
@@ -130,7 +130,7 @@
   }
 }
 
-/** Starts everything; resolves once all processes run. */
+/** Starts a cluster; resolves once all entries and keepers run. */
 export async function startCluster(opts: ClusterOptions): Promise<Cluster> {
   const ledger: Ledger = new Map()
   const random = createRandom(opts.seed)
@@ -200,7 +200,7 @@
   return { id: plan.id, hall: plan.hall, role: plan.role, cfg, kernel, url }
 }
 
-/** Makes the table of the platform equal to this one, by a draft and an accept. */
+/** Drafts and accepts edits that make the platform's table equal to `table`; resolves to its epoch. */
 export async function acceptTable(platformUrl: string, table: RawTable): Promise<number> {
   const editor = 'playground'
   const platform = createHttpPlatform({ url: platformUrl, timeoutMs: 2000, node: editor })
--- a/playground/fleet.ts
+++ b/playground/fleet.ts
@@ -1,14 +1,14 @@
-/** The stand-in platform's VMs and tasks: drains, reboots, failures. */
+/** VMs and tasks of the stand-in platform, with drains, reboots and failures. */
 import type { ListedVm, Task, TaskSpec } from '../src/platform/index.js'
 import type { Random } from './random.js'
 import type { Ledger, TargetBehaviour, TargetServer } from './target.js'
 import { startTarget } from './target.js'
 
-/** A VM of the stand-in. */
+/** A VM of the stand-in platform. */
 interface SimVm extends Omit<ListedVm, 'incarnation'> {
   starts: number
   up: boolean
-  /** Operation ids of reboots that were begun. */
+  /** Operation ids of reboots that have begun, so that a repeated request has no effect. */
   reboots: Set<string>
 }
 
@@ -25,47 +25,47 @@
   host: string
   random: Random
   ledger: Ledger
-  /** Slots of a target by service. */
+  /** Number of slots of a service's targets; 8 by default. */
   slotsOf?: (service: string) => number
   behaviour?: Partial<TargetBehaviour>
   /**
-   * Time of a reboot in ms.
+   * Duration of a reboot, in ms.
    * @default 300
    */
   rebootMs?: number
   /**
-   * Time until a started task serves, in ms.
+   * Time from the start of a task until it serves, in ms.
    * @default 50
    */
   taskStartMs?: number
 }
 
-/** VMs and tasks of the stand-in. */
+/** VMs and tasks of the stand-in platform. */
 export interface SimFleet {
   addVm(vm: Omit<ListedVm, 'incarnation' | 'state'>): void
   removeVm(id: string): Promise<void>
-  /** The list as it is now, without lag. */
+  /** The current list of VMs, without lag. */
   list(): ListedVm[]
   tasks(hall: string): Task[]
-  /** Undefined when started or already known; otherwise why not. */
+  /** Starts a task unless it is known. Undefined on success, otherwise why it was refused. */
   startTask(spec: TaskSpec): string | undefined
   stopTask(id: string): Promise<void>
   drain(vm: string): void
   reboot(vm: string, opId: string): void
-  /** Stops a VM as a failure would, and brings it back after `downMs` if given. */
+  /** Fails a VM, and restarts it after `downMs` if given. */
   crash(vm: string, downMs?: number): Promise<void>
-  /** Ends one task as a crash of its process would. */
+  /** Fails a task, like a crash of its process. */
   failTask(id: string): Promise<void>
-  /** Marks the VM as leaving in the list. */
+  /** Sets the state of a VM in the list to `leaving`. */
   leave(vm: string): void
   targetOf(task: string): TargetServer | undefined
-  /** Counts changes of VMs, for conditional reads. */
+  /** Number of changes of VMs, for conditional reads. */
   revision(): number
-  /** Counts changes of tasks. */
+  /** Number of changes of tasks, for conditional reads. */
   taskRevision(): number
-  /** How often each VM was rebooted on request. */
+  /** Number of requested reboots by VM. */
   reboots(): Map<string, number>
-  /** Refuses every task of these services. */
+  /** Services whose tasks are refused. */
   failServices: Set<string>
   stop(): Promise<void>
 }
@@ -73,7 +73,7 @@
 const DEFAULT_REBOOT_MS = 300
 const DEFAULT_TASK_START_MS = 50
 
-/** Creates an empty fleet. */
+/** Creates a fleet without VMs. */
 export function createSimFleet(opts: SimFleetOptions): SimFleet {
   const vms = new Map<string, SimVm>()
   const tasks = new Map<string, SimTask>()
@@ -187,7 +187,7 @@
       taskRevision++
       const task = tasks.get(id)
       if (!task) {
-        // Remembered, so that a late start of it is refused.
+        // Recorded as stopped, so that a start order that arrives later has no effect.
         const spec = { id, vm: '', service: '', cpus: 0, memoryGb: 0, leaseMs: 0 }
         tasks.set(id, { spec, state: 'stopped', incarnation: '' })
         return
--- a/playground/load.ts
+++ b/playground/load.ts
@@ -1,6 +1,6 @@
 /**
- * An open-loop load: requests arrive by a Poisson process whether or not earlier ones
- * have ended. Each answer is checked to be whole and the caller's own.
+ * Open-loop load generator: requests are sent by a Poisson process, independently of the answers
+ * to earlier ones. Checks that each answer is complete and belongs to its request.
  */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
@@ -21,47 +21,47 @@
   rate: number
   seconds: number
   seed: number
-  /** Part of the requests that must not run twice. */
+  /** Fraction of requests that must not run twice, from 0 to 1. */
   unrepeatableShare: number
   bodyBytes: number
-  /** Request ids begin with it; choose another one for each run. */
+  /** Prefix of the request ids; must be different in each run. */
   idPrefix: string
   signal?: AbortSignal
 }
 
-/** What one request ended with. */
+/** Result of a request. */
 export interface CallRecord {
   id: string
   repeatable: boolean
   outcome: 'answered' | 'not-run' | 'unknown'
-  /** Steady time at which it was sent, in ms, and how long it took. */
+  /** Monotonic time at which it was sent, and its duration, in ms. */
   sentAt: number
   tookMs: number
-  /** What the caller saw: the answer's status and text, or why there was none. */
+  /** Status and text of the answer, or the error if there was none. */
   seen: string
 }
 
-/** What a load run saw. */
+/** Results of a load run. */
 export interface LoadReport {
   sent: number
   answered: number
   notRun: number
   unknown: number
-  /** Of the unknown: refused without sending, since nobody could tell a repeat. */
+  /** Of `unknown`: refused before sending (503), since a repeat could not be ruled out. */
   unsure: number
-  /** Answers that were short or belonged to another request. */
+  /** Answers that were incomplete or belonged to another request. */
   foreign: number
   records: CallRecord[]
-  /** Time of answered requests, in µs. */
+  /** Latency of answered requests, in µs. */
   latency: Histogram
 }
 
-/** Characters of an answer that a record keeps. */
+/** Longest part of an answer that a record contains, in characters. */
 const MAX_SEEN = 200
 const MAX_LATENCY_US = 120_000_000
 const CALLER_TIMEOUT_MS = 60_000
 
-/** Runs the load and waits for the last answer. */
+/** Sends requests for the given time and waits for the last answer. */
 export async function runLoad(opts: LoadOptions): Promise<LoadReport> {
   const random = createRandom(opts.seed)
   const agent = new Agent({ connections: 256, pipelining: 1 })
@@ -157,17 +157,17 @@
   }
 }
 
-/** What callers were told, held against what targets ran. */
+/** Differences between the answers to callers and the runs on targets. */
 export interface LedgerCheck {
-  /** Unrepeatable requests that ran more than once. */
+  /** Number of unrepeatable requests that ran more than once. */
   doubled: number
-  /** Requests answered without having run. */
+  /** Number of requests that were answered but did not run. */
   lost: number
-  /** Requests told "not run" that ran. */
+  /** Number of requests that were answered with `not-run` but ran. */
   falseNotRun: number
 }
 
-/** Compares the records with how often each request ran. */
+/** Compares the records with the number of runs of each request. */
 export function checkLedger(
   records: readonly CallRecord[],
   runsOf: (id: string) => number,
--- a/playground/loadMain.ts
+++ b/playground/loadMain.ts
@@ -1,4 +1,4 @@
-/** `npm run load`: drives entries with an open-loop load and checks what it was told. */
+/** `npm run load`: sends an open-loop load to entries and checks the answers. */
 import { parseArgs } from 'node:util'
 import { z } from 'zod'
 import { checkLedger, runLoad } from './load.js'
@@ -8,11 +8,11 @@
   --url URL          entry to use; may be given several times
   --service NAME     service to call; may be given several times (timing)
   --rate N           requests a second (100)
-  --seconds N        how long (10)
+  --seconds N        duration (10)
   --seed N           seed of arrivals and choices (1)
-  --unrepeatable N   part of the requests that must not run twice (0.5)
-  --body N           bytes of each request body (300)
-  --platform URL     stand-in platform, to compare with what the targets ran
+  --unrepeatable N   fraction of the requests that must not run twice (0.5)
+  --body N           size of each request body in bytes (300)
+  --platform URL     stand-in platform; compares the answers with the runs on the targets
   --json             print JSON`
 
 const MAX_REQUESTS = 1_000_000
--- a/playground/main.ts
+++ b/playground/main.ts
@@ -1,4 +1,4 @@
-/** `npm start`: two data halls, a platform and light load in one process. */
+/** `npm start`: two data halls, a stand-in platform and a light load in one process. */
 import { createLogger } from '../src/shared/index.js'
 import type { Cluster } from './cluster.js'
 import { startCluster } from './cluster.js'
@@ -32,11 +32,11 @@
 printHints(cluster)
 
 await runBackgroundLoad(cluster)
-console.log('\nstopping: requests in flight end first')
+console.log('\nstopping after the requests in flight have ended')
 await cluster.stop()
 console.log('stopped')
 
-/** Waits until every entry answers for every service. */
+/** Waits until every entry answers requests to every service. */
 async function waitForService(running: Cluster): Promise<void> {
   for (const entry of running.entries()) {
     for (const service of SERVICES) await waitFor(`${entry.url}/${service}/hello`)
--- a/playground/platform.ts
+++ b/playground/platform.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the platform: a transactional table, an object store, the lagging list
- * and worker tasks over HTTP and JSON, with faults that can be switched on.
+ * Stand-in for the platform over HTTP and JSON: a transactional table, an object store, a list of
+ * VMs that may lag, and worker tasks. Faults can be injected.
  */
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,17 +12,17 @@
 import type { SimFleet } from './fleet.js'
 import type { Ledger } from './target.js'
 
-/** Faults of the platform; all are off at first. */
+/** Injected faults of the platform; all are off by default. */
 export interface PlatformFaults {
   /** Every call fails with 503 and takes no effect. */
   outage: boolean
-  /** Every call takes this much longer, in ms. */
+  /** Delay of every call, in ms. */
   slowMs: number
-  /** So many of the next transactions take effect and lose their reply. */
+  /** Number of further transactions that take effect but are answered 503. */
   loseReplies: number
-  /** The list of VMs is this old, in ms. */
+  /** Age of the list of VMs, in ms. */
   listLagMs: number
-  /** Nodes whose calls are cut off. */
+  /** Nodes whose calls are answered 503. */
   cut: Set<string>
 }
 
@@ -30,7 +30,7 @@
 export interface StandInPlatform {
   url: string
   faults: PlatformFaults
-  /** Calls served, by path. */
+  /** Number of calls by path. */
   calls: Map<string, number>
   row(key: string): unknown
   keys(): string[]
@@ -40,7 +40,7 @@
 /** Options of {@link startPlatform}. */
 export interface StandInOptions {
   fleet: SimFleet
-  /** What the targets ran, for the load tool. */
+  /** Runs on the targets by request id, served to the load tool. */
   ledger?: Ledger
   host?: string
   port?: number
@@ -49,7 +49,7 @@
 interface TableState {
   revision: number
   rows: Map<string, Row>
-  /** Revision at which a key was deleted. */
+  /** Revision of the deletion by key. */
   deleted: Map<string, number>
   objects: Map<string, unknown>
 }
@@ -66,7 +66,7 @@
   })
   .partial()
 
-/** Starts a platform with an empty table. */
+/** Starts a stand-in platform with an empty table. */
 export async function startPlatform(opts: StandInOptions): Promise<StandInPlatform> {
   const { fleet } = opts
   const state: TableState = {
@@ -208,7 +208,7 @@
   }
 }
 
-/** The key whose condition does not hold; undefined when all do. */
+/** The first key whose condition does not hold; undefined if all conditions hold. */
 function findFailure(state: TableState, tx: Transaction): string | undefined {
   for (const { key, version } of tx.writes) {
     if ((state.rows.get(key)?.version ?? 0) !== version) return key
@@ -237,7 +237,7 @@
 function changesSince(state: TableState, c: Context) {
   const prefixes = c.req.queries('prefix') ?? []
   const since = Number(c.req.query('since') ?? 0)
-  // A reader that is ahead of us saw a table that was lost; it gets everything.
+  // A reader with a higher revision read a table that was lost since; it gets all rows.
   const full = since === 0 || since > state.revision
   const matchesPrefix = (key: string) => prefixes.some((prefix) => key.startsWith(prefix))
   const rows = [...state.rows.values()].filter(
--- a/playground/ports.ts
+++ b/playground/ports.ts
@@ -1,24 +1,24 @@
 /**
- * Free ports of the own machine that stay the same when a process starts anew. Blocks of
- * them belong to one thread of one process: another one that took a port between a stop
- * and the next start would get the requests that are meant for the first.
+ * Allocates free loopback ports that a server can use again after a restart. Each thread reserves
+ * whole blocks of ports: if another thread took a port between a stop and the next start, it
+ * would receive requests meant for the restarted server.
  */
 import { createServer } from 'node:net'
 import type { Server } from 'node:net'
 
-/** Ports below those that the system gives out itself. */
+/** First port of the blocks, which lie below the ephemeral range of the system. */
 const FIRST_PORT = 12_000
 const PORTS_PER_BLOCK = 300
 const BLOCKS = 60
 const HOST = '127.0.0.1'
 
-/** The next port of the own block, and the end of the block; none is taken yet. */
+/** Next port of the reserved block, and the end of the block; equal if there is none. */
 let nextPort = 0
 let endPort = 0
-/** Callers take ports one after another. */
+/** Serializes the requests for ports. */
 let lastRequest: Promise<unknown> = Promise.resolve()
 
-/** A server on the port; undefined when another one has it. */
+/** Opens a server on a port; undefined if the port is in use. */
 function listenOn(port: number): Promise<Server | undefined> {
   const server = createServer()
   return new Promise((resolve) => {
@@ -34,7 +34,7 @@
   return true
 }
 
-/** Takes a block by its first port, which stays open as long as this thread lives. */
+/** Reserves a block by listening on its first port until this thread ends. */
 async function reserveBlock(): Promise<void> {
   for (let block = 0; block < BLOCKS; block++) {
     const first = FIRST_PORT + block * PORTS_PER_BLOCK
@@ -45,7 +45,7 @@
     endPort = first + PORTS_PER_BLOCK
     return
   }
-  throw new Error(`all ${BLOCKS} blocks of ports are taken`)
+  throw new Error(`all ${BLOCKS} blocks of ports are in use`)
 }
 
 async function findPort(): Promise<number> {
@@ -56,7 +56,7 @@
   }
 }
 
-/** A port that no other thread takes as long as this one lives. */
+/** Allocates a port that is reserved for this thread until the thread ends. */
 export function freePort(): Promise<number> {
   const port = lastRequest.then(findPort)
   lastRequest = port.catch(() => undefined)
--- a/playground/random.ts
+++ b/playground/random.ts
@@ -1,17 +1,17 @@
-/** Seeded random numbers, so that a run can be repeated. */
+/** Seeded random numbers for reproducible runs. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** A source of numbers from 0 up to 1. */
+/** Returns a number from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number
 
-/** Creates a source that gives the same numbers for the same seed. */
+/** Creates a generator whose sequence is determined by the seed. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed)
   return () => uniformFloat64(generator)
 }
 
-/** An exponentially distributed number with that mean. */
+/** Draws an exponentially distributed number. */
 export function exponential(random: Random, mean: number): number {
   return -Math.log(1 - random()) * mean
 }
--- a/playground/seedTable.ts
+++ b/playground/seedTable.ts
@@ -1,4 +1,4 @@
-/** The table that the playground starts with: the two teams' front services in small. */
+/** Initial table of the playground: a small version of the front services of two teams. */
 import type { RawTable } from '../src/table/index.js'
 
 export const SEED_TABLE: RawTable = {
--- a/playground/target.ts
+++ b/playground/target.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for a target: some slots, a short queue, a health answer, service times
- * from a seeded distribution, and a ledger of what it ran.
+ * Stand-in for a target over HTTP: a number of slots, a bounded queue, a health check,
+ * exponentially distributed service times and a ledger of the requests that it ran.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -9,20 +9,20 @@
 import type { Random } from './random.js'
 import { exponential } from './random.js'
 
-/** How often each request ran, over all targets. */
+/** Number of runs by request id, over all targets. */
 export type Ledger = Map<string, number>
 
-/** How a target behaves. */
+/** Behaviour of a target. Fields can be changed while it runs. */
 export interface TargetBehaviour {
-  /** Mean time of a request, in ms. */
+  /** Mean service time, in ms; 0 answers at once. */
   meanMs: number
-  /** Answers everything with 500 at once. */
+  /** Answers every request with 500. */
   failsAll: boolean
-  /** Accepts and never answers. */
+  /** Accepts requests and never answers them. */
   hangs: boolean
-  /** Breaks every answer off in the middle. */
+  /** Closes the connection after half of each answer. */
   breaksAnswers: boolean
-  /** Reads no request body before this. */
+  /** Request bodies are read only after this has resolved. */
   readsAfter: Promise<void> | undefined
 }
 
@@ -30,11 +30,11 @@
 export interface TargetServer {
   address: string
   behaviour: TargetBehaviour
-  /** Says in its health answer that it finishes what it has. */
+  /** Reports the state `draining` in the health check from now on. */
   drain(): void
-  /** Requests running or waiting. */
+  /** Number of requests that run or wait for a slot. */
   load(): number
-  /** Ends at once; connections break. */
+  /** Closes the server and all of its connections at once. */
   kill(): Promise<void>
 }
 
@@ -52,11 +52,11 @@
   behaviour?: Partial<TargetBehaviour>
 }
 
-/** Requests that wait at a target before it refuses. */
+/** Queue length per slot; further requests are refused. */
 const QUEUE_PER_SLOT = 2
 const DEFAULT_MEAN_MS = 10
 
-/** Starts a target on a free port of the host. */
+/** Starts a target; by default on a free port of the host. */
 export async function startTarget(opts: TargetOptions): Promise<TargetServer> {
   const { vm, incarnation, job, service, slots, ledger } = opts
   const behaviour: TargetBehaviour = {
@@ -141,7 +141,7 @@
     sockets.add(socket)
     socket.on('close', () => sockets.delete(socket))
   })
-  // Longer than any idle time of the entries, so that they are the ones to close.
+  // Longer than any idle time-out of the entries, so that the entries close idle connections.
   server.keepAliveTimeout = 120_000
   await new Promise<void>((resolve) => server.listen(opts.port ?? 0, opts.host, resolve))
 
