--- a/playground/__tests__/cluster.spec.ts
+++ b/playground/__tests__/cluster.spec.ts
@@ -21,7 +21,7 @@
     seed: 7,
     table: SEED_TABLE,
     settings: {
-      // Limits that a busy machine meets: its event loops may stand still for seconds.
+      // On a machine under load, event loops may stall for seconds.
       requests: { drain_notice: '100ms', connect_timeout: '20s' },
       keeper: { cycle: '200ms', lease: '6s' },
       platform: { poll: '200ms', timeout: '20s' },
@@ -83,11 +83,11 @@
   t.is(report.foreign, 0)
 }
 
-/** Events that tell of a request that was not answered, and of the nodes around it. */
+/** Events of nodes and targets that may explain why a request was not answered. */
 const DIAGNOSTIC_EVENTS =
   /peerLost|kernelStop|kernelStarted|targetExcluded|unexpectedError/
 
-/** Tells of each request that was cut off or refused, so that a failure can be traced. */
+/** Logs the first 20 requests that were not answered, with their events. */
 function logUnanswered(
   t: ExecutionContext,
   report: LoadReport,
@@ -126,14 +126,14 @@
     const done = events
       .filter(({ name }) => name === 'vmMaintDone')
       .map(({ fields }) => fields['vm'])
-    t.is(new Set(done).size, done.length, 'a VM was maintained twice')
+    t.is(new Set(done).size, done.length, 'no VM is maintained twice')
     for (const [vm, times] of cluster.fleet.reboots())
       t.is(times, done.includes(vm) ? 1 : 0, vm)
     const rows = cluster.platform.keys().filter((key) => key.startsWith('budgets/'))
     for (const key of rows) t.deepEqual(cluster.platform.row(key), { out: [] })
   })
 
-  it('replace an instance whose task has failed, though its VM is sound', async (t) => {
+  it('replace an instance whose task has failed on a healthy VM', async (t) => {
     const { cluster } = await setUp(t)
     const view = cluster.entries()[0]!.kernel.get('view')
     const [failed] = view.targets('timing')
@@ -166,7 +166,7 @@
     t.true(reboots.filter((times) => times === 1).length >= 4)
   })
 
-  /** Replaces all entries but one, which has the load; the balancer's part is left out. */
+  /** Restarts all entries but the first, which gets all requests, as there is no load balancer. */
   async function replaceUnderLoad(
     t: ExecutionContext,
     idPrefix: string,
--- a/playground/__tests__/foreignRows.spec.ts
+++ b/playground/__tests__/foreignRows.spec.ts
@@ -1,4 +1,7 @@
-/** Nodes as processes, in a store into which another writer writes all the time. */
+/**
+ * Guards against nodes that lose or double jobs, or answer wrongly, because another program
+ * writes rows with arbitrary texts into the store.
+ */
 import fc from 'fast-check'
 import { request } from 'undici'
 import { describe, itAlone } from '../../test/describe.js'
@@ -15,10 +18,10 @@
 import type { SimPlatform } from '../sim/wireServer.js'
 
 const JOBS = 60
-/** Time between two rows of the other writer, in ms. */
+/** Interval of the rows of the other writer, in ms. */
 const WRITE_INTERVAL_MS = 25
 
-/** Seed of the texts in CI; others by hand: `FOREIGN_SEED=7`. */
+/** Seed of the texts; set `FOREIGN_SEED` to use another one. */
 const SEED = Number(process.env['FOREIGN_SEED'] ?? 4111)
 
 const jobId = (number: number): string => number.toString(16).padStart(16, '0')
@@ -54,10 +57,10 @@
   labels: [],
   capacity: { cpu: 8000, mem_mb: 32_000, gpu: 0 },
 })
-/** Bytes that are no text, between quotes and alone, as the stand-in's wire has them. */
+/** Texts with a lone surrogate, which the stand-in sends as a byte that is invalid in UTF-8. */
 const INVALID_UTF8 = ['\uD800', '"\uD800"', ENTRY.replace('h1', '\uD800')]
 
-/** Where rows that the nodes read may lie beside their own. */
+/** Tables and parts that nodes read, with and without rows of their own. */
 const LOCATIONS: Omit<RowKey, 'key'>[] = [
   { table: 'servers', part: '' },
   { table: 'nodes', part: 'stranger' },
@@ -70,7 +73,7 @@
   { table: 'epochs', part: 'stranger' },
 ]
 
-/** The other writer: it changes entries of targets and adds rows of its own. */
+/** Starts the other writer, which overwrites entries of targets and adds rows. */
 function startWriter(platform: SimPlatform) {
   const { table, vms } = platform
   const write = fc.record({
@@ -111,7 +114,7 @@
   return { platform, nodes }
 }
 
-/** Lines of a kind that the nodes have written. */
+/** Log lines of the nodes that contain an event name. */
 const linesOf = (nodes: NodeProcess[], name: string): string[] =>
   nodes.flatMap((node) =>
     node
@@ -121,51 +124,48 @@
   )
 
 describe('another writer in the store of the nodes', () => {
-  itAlone(
-    'makes them lose and double no job, also when an owner is killed',
-    async (t) => {
-      const { platform, nodes } = await startAll()
-      const writer = startWriter(platform)
-      const alive = () =>
-        nodes.filter(({ child }) => child.exitCode === null && !child.killed)
-      for (let number = 1; number <= JOBS; number++) {
-        await waitUntil(async () => {
-          const among = alive()
-          const node = among[number % among.length]!
-          const res = await call(node, 'POST', jobId(number), JOB).catch(() => undefined)
-          return res?.status === 200
-        })
-        if (number === JOBS / 2) {
-          const owner = nodes.find((node) =>
-            /"ownershipTaken".*"service":"one"/.test(node.output()),
-          )
-          await owner?.kill()
-        }
-        await sleep(50)
-      }
-      writer.stop()
-      const open = new Set(Array.from({ length: JOBS }, (_, each) => jobId(each + 1)))
-      const done = await waitUntil(async () => {
-        for (const id of open) {
-          const { state } = await call(alive()[0]!, 'GET', id)
-          if (state === 'completed') open.delete(id)
-        }
-        return open.size === 0
+  itAlone('causes no lost or doubled job, also when an owner is killed', async (t) => {
+    const { platform, nodes } = await startAll()
+    const writer = startWriter(platform)
+    const alive = () =>
+      nodes.filter(({ child }) => child.exitCode === null && !child.killed)
+    for (let number = 1; number <= JOBS; number++) {
+      await waitUntil(async () => {
+        const among = alive()
+        const node = among[number % among.length]!
+        const res = await call(node, 'POST', jobId(number), JOB).catch(() => undefined)
+        return res?.status === 200
       })
-      t.true(done, `open: ${[...open].join(' ')}`)
-      t.is(findBrokenPromise(platform.ledger), undefined)
-      t.deepEqual(linesOf(nodes, 'unexpectedError'), [])
-      const lines = linesOf(nodes, 'rowInvalid')
-      t.true(lines.length > 0)
-      t.true(Math.max(...lines.map(({ length }) => length)) < 1500)
-      t.log(`${writer.written()} rows written, ${lines.length} lines about them`)
-      await Promise.all(alive().map((node) => node.kill()))
-      await platform.close()
-    },
-  )
+      if (number === JOBS / 2) {
+        const owner = nodes.find((node) =>
+          /"ownershipTaken".*"service":"one"/.test(node.output()),
+        )
+        await owner?.kill()
+      }
+      await sleep(50)
+    }
+    writer.stop()
+    const open = new Set(Array.from({ length: JOBS }, (_, each) => jobId(each + 1)))
+    const done = await waitUntil(async () => {
+      for (const id of open) {
+        const { state } = await call(alive()[0]!, 'GET', id)
+        if (state === 'completed') open.delete(id)
+      }
+      return open.size === 0
+    })
+    t.true(done, `open: ${[...open].join(' ')}`)
+    t.is(findBrokenPromise(platform.ledger), undefined)
+    t.deepEqual(linesOf(nodes, 'unexpectedError'), [])
+    const lines = linesOf(nodes, 'rowInvalid')
+    t.true(lines.length > 0)
+    t.true(Math.max(...lines.map(({ length }) => length)) < 1500)
+    t.log(`${writer.written()} rows written, ${lines.length} lines about them`)
+    await Promise.all(alive().map((node) => node.kill()))
+    await platform.close()
+  })
 
   itAlone(
-    'makes them call no job unknown or over whose row cannot be read',
+    'does not make a job with an unreadable row count as unknown or ended',
     async (t) => {
       const { platform, nodes } = await startAll()
       const node = nodes[0]!
--- a/playground/__tests__/lostOrders.spec.ts
+++ b/playground/__tests__/lostOrders.spec.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against jobs that start too late because a target leaves an order of the owner
+ * unanswered, and against a second run when the order is carried out late.
+ */
 import type { ExecutionContext } from 'ava'
 import { createOrdersClient } from '../../platform/index.js'
 import { monotonicMs, sleep } from '../../src/shared/index.js'
@@ -9,20 +13,20 @@
 import { HOST, listen, portOf } from '../sim/wire.js'
 import type { Handler } from '../sim/wire.js'
 
-/** Time that callers allow a job beyond its work, in ms. */
+/** Time that callers allow a job in addition to its run time, in ms. */
 const MAX_START_DELAY_MS = 600
 /** Run time of a task, in ms. */
 const TASK_MS = 50
-/** Unanswered orders are carried out so much later, in ms. */
+/** Delay after which unanswered orders are carried out, in ms. */
 const LATE_MS = 1500
-/** By then a poll that was sent to an idle target is over, in ms. */
+/** Time after which a poll that was sent to an idle target has ended, in ms. */
 const IDLE_POLL_MS = 1100
 const START = '/run-start'
 const POLL = '/hold'
 
-/** A target over HTTP that leaves some orders unanswered and carries them out late. */
+/** An HTTP target that leaves some orders unanswered and carries them out late. */
 interface LossyTarget {
-  /** Orders by path that the target leaves unanswered, counted down. */
+  /** Number of further orders that the target leaves unanswered, by path. */
   losses: Map<string, number>
 }
 
@@ -58,7 +62,7 @@
   return { losses }
 }
 
-/** An owner with one target, which has done a job. */
+/** Starts an owner with one target and completes a first job on it. */
 async function startWarm(t: ExecutionContext) {
   const rig = createJobRig()
   rig.orders = createOrdersClient({})
@@ -71,7 +75,7 @@
   return { rig, owner, target }
 }
 
-/** Hands a job in and returns the time until its last task has begun, in ms. */
+/** Submits a job and returns the time until its last task has started, in ms. */
 async function timeToLastStart(
   rig: JobRig,
   owner: RigOwner,
--- a/playground/__tests__/node.spec.ts
+++ b/playground/__tests__/node.spec.ts
@@ -31,7 +31,7 @@
   }
 }
 
-/** The first answer of an address that is about to open. */
+/** Polls an address until it answers. */
 async function firstAnswer(url: string) {
   for (let tries = 0; tries < 100; tries++) {
     const res = await request(url).catch(() => undefined)
@@ -54,7 +54,7 @@
   }
 }
 
-/** Runs that died under orders to move or maintain their VM. */
+/** Runs that were active when their target ended, for example by a move of its VM. */
 const killedRuns = ({ ledger }: SimPlatform): string[] =>
   ledger.entries.flatMap(({ what, task, target }) =>
     what === 'killed' ? `${task} on ${target}` : [],
@@ -77,7 +77,7 @@
 }
 
 describe('rillshunt-node as a process', () => {
-  it('loses and doubles no job when the owner is killed', async (t) => {
+  it('neither loses nor doubles a job when the owner is killed', async (t) => {
     const { platform, nodes } = await startAll(3)
     const total = 200
     const spec = JSON.stringify({ ms: 120, cpu: 400 })
@@ -123,7 +123,7 @@
     await platform.close()
   })
 
-  it('answers what cannot be taken with the right status', async (t) => {
+  it('answers requests that it cannot accept with the right status', async (t) => {
     const { platform, nodes } = await startAll(1)
     const node = nodes[0]!
     const good = { spec: '{}', steps: [{ count: 1, cpu: 100 }] }
@@ -153,7 +153,7 @@
     await platform.close()
   })
 
-  it('says 503 when its settings cannot be used', async (t) => {
+  it('answers 503 when its settings are invalid', async (t) => {
     const { platform, nodes } = await startAll(1)
     const node = await startNodeProcess(platform, 'n9', 'h1', {
       moreSettings: ['[targets]', 'orders = heartbeat'],
@@ -167,7 +167,7 @@
     await platform.close()
   })
 
-  it('lives through reloads of wrong settings and serves with the right ones', async (t) => {
+  it('survives reloads of invalid settings and serves once they are valid', async (t) => {
     const { platform, nodes } = await startAll(1)
     const wrong = ['[targets]', 'orders = heartbeat']
     const node = await startNodeProcess(platform, 'n9', 'h1', { moreSettings: wrong })
@@ -186,7 +186,7 @@
     await platform.close()
   })
 
-  it('serves under a contract that it does not know, and says so', async (t) => {
+  it('serves under an unknown contract and logs it', async (t) => {
     const { platform, nodes } = await startAll(1)
     const contracts = ['[contracts]', 'in_force = base,health,sched,magic']
     const node = await startNodeProcess(platform, 'n9', 'h1', {
@@ -200,7 +200,7 @@
     await platform.close()
   })
 
-  it('carries a wave out, empties before it, and says so', async (t) => {
+  it('carries out a wave, evacuates its VMs first and reports completion', async (t) => {
     const { platform, nodes } = await startAll(2)
     const spec = JSON.stringify({ ms: 300, cpu: 1000 })
     const steps = [{ count: 4, cpu: 1000, estimated_ms: 300 }]
--- a/playground/__tests__/ports.spec.ts
+++ b/playground/__tests__/ports.spec.ts
@@ -6,7 +6,7 @@
 
 const PORTS_EACH = 20
 
-/** Prints its ports and stays until its input ends. */
+/** Prints the ports that it allocates, and runs until its input ends. */
 const PROGRAM = `
   const { freePort } = await import(process.argv[1])
   const ports = []
@@ -15,7 +15,7 @@
   process.stdin.resume()
 `
 
-/** Ports that another process takes, which lives as long as the test. */
+/** Ports that a child process allocates, which runs until the end of the test. */
 async function portsOfProcess(t: ExecutionContext): Promise<number[]> {
   const args = ['--input-type=module', '-e', PROGRAM, '--']
   const module = new URL('../ports.js', import.meta.url).href
@@ -28,7 +28,7 @@
 }
 
 describe('freePort', () => {
-  it('gives no port to two processes, nor twice to one', async (t) => {
+  it('allocates each port only once, within and across processes', async (t) => {
     const others = await Promise.all([1, 2, 3].map(() => portsOfProcess(t)))
     const own = await Promise.all(Array.from({ length: PORTS_EACH }, () => freePort()))
     const all = [...others.flat(), ...own]
--- a/playground/__tests__/processLife.spec.ts
+++ b/playground/__tests__/processLife.spec.ts
@@ -1,13 +1,9 @@
 /**
- * What users saw: nodes of two sites ended by themselves or served nothing, on calm days too.
- * Order of events: the platform writes a node's settings and says so by SIGHUP, or stops it
- * by SIGTERM; the node meets a word that it does not know, or the signal comes before its
- * code is loaded (0.3 s, more on a weak VM), or comes twice.
- * Cause: each boundary of the process took what it did not expect for a reason to end.
- * Evidence: a node was gone with signal SIGHUP when it was sent 5 to 300 ms after the start
- * and lived when it was sent at 500 ms; with SIGTERM sent twice within 20 ms it was gone by
- * the second one, in the middle of its planned stop; a section more in its settings made it
- * answer 503 to everything; a port in use at its start ended it.
+ * Guards against nodes that exit or serve nothing because of input that they do not expect: a
+ * SIGHUP or SIGTERM before the code is loaded (0.3 s, more on a weak VM; a SIGHUP 5 to 300 ms
+ * after the start ended a node, one after 500 ms did not), a second SIGTERM within 20 ms, in the
+ * middle of a graceful stop, an unknown section in the settings (503 to everything), a port in
+ * use at the start, or a missing settings file.
  */
 import { spawnSync } from 'node:child_process'
 import { mkdtempSync, readFileSync, renameSync, writeFileSync } from 'node:fs'
@@ -23,10 +19,10 @@
 import { startSimPlatform } from '../sim/wireServer.js'
 import type { SimPlatform } from '../sim/wireServer.js'
 
-/** Longest wait for something that a busy machine does late, in ms. */
+/** Time-out of a wait, in ms; long enough for a machine under load. */
 const WAIT_TIMEOUT_MS = 60_000
 
-/** Makes the loading of the program take long, and says when it has begun. */
+/** Delays the loading of the program by 500 ms and prints `loading` when it begins. */
 const SLOW_LOADING = `
 const fs = require('node:fs')
 const read = fs.readFileSync
@@ -59,7 +55,7 @@
 const isGone = ({ child }: NodeProcess): boolean =>
   child.exitCode !== null || child.signalCode !== null
 
-/** Waits until something holds of a node; in vain when the node is gone. */
+/** Polls `holds`; false if the node has exited or the time-out is over. */
 async function waitUntil(
   node: NodeProcess,
   holds: () => boolean | Promise<boolean>,
@@ -80,14 +76,14 @@
   return res?.statusCode === 200
 }
 
-/** Whether the node serves in the end, without having ended. */
+/** Waits until the node is ready; false if it exits before. */
 const becomesReady = (node: NodeProcess): Promise<boolean> =>
   waitUntil(node, () => isReady(node))
 
 const hasLogged = (node: NodeProcess, event: string): boolean =>
   node.output().includes(`"name":"${event}"`)
 
-/** Builds the program as it is deployed; the arguments that run it with slow loading. */
+/** Builds the bundle and returns the Node.js arguments that run it with delayed loading. */
 function slowProgram(): string[] {
   const dir = mkdtempSync(join(tmpdir(), 'rillshunt-bundle-'))
   const built = spawnSync(process.execPath, ['scripts/bundle.mjs', dir])
@@ -98,7 +94,7 @@
 }
 
 describe('the life of a node process', () => {
-  it('takes a reload that is asked for while its code is loaded', async (t) => {
+  it('handles a reload that is requested while the code is loaded', async (t) => {
     const platform = await startPlatform()
     const program = slowProgram()
     const node = await startNodeProcess(platform, 'n1', 'h1', { program })
@@ -110,7 +106,7 @@
     await platform.close()
   })
 
-  it('ends in order when it is stopped while its code is loaded', async (t) => {
+  it('ends with code 0 when it is stopped while the code is loaded', async (t) => {
     const platform = await startPlatform()
     const program = slowProgram()
     const node = await startNodeProcess(platform, 'n1', 'h1', { program })
@@ -121,7 +117,7 @@
     await platform.close()
   })
 
-  it('finishes its planned stop when it is told to stop once more', async (t) => {
+  it('completes a graceful stop despite a second stop signal', async (t) => {
     const platform = await startPlatform()
     const node = await startNodeProcess(platform, 'n1', 'h1')
     t.true(await becomesReady(node))
@@ -134,7 +130,7 @@
     await platform.close()
   })
 
-  it('starts once the port that it needs is free', async (t) => {
+  it('starts once its port is free', async (t) => {
     const platform = await startPlatform()
     let other: Server | undefined
     const node = await startNodeProcess(platform, 'n1', 'h1', {
@@ -151,7 +147,7 @@
     await platform.close()
   })
 
-  it('serves with settings that say more than it knows, and names that', async (t) => {
+  it('serves with unknown settings and logs their names', async (t) => {
     const platform = await startPlatform()
     const moreSettings = ['depth = 3', '[lanes]', 'count = 7']
     const node = await startNodeProcess(platform, 'n1', 'h1', { moreSettings })
@@ -161,7 +157,7 @@
     await platform.close()
   })
 
-  it('waits for a settings file that is not there yet', async (t) => {
+  it('waits for a settings file that does not exist yet', async (t) => {
     const platform = await startPlatform()
     const node = await startNodeProcess(platform, 'n1', 'h1', {
       prepare: (file) => renameSync(file, `${file}.later`),
--- a/playground/__tests__/soak.spec.ts
+++ b/playground/__tests__/soak.spec.ts
@@ -1,6 +1,7 @@
 /**
- * A short soak: node processes under drawn faults, and the plans that once broke a promise.
- * Each kept plan says the cause in a line; its faults stay as they were.
+ * A short soak: node processes under faults drawn from seeds, and kept plans under which a
+ * guarantee was violated before. Each kept plan states the cause in one line; its faults are
+ * never changed.
  */
 import { mkdtempSync, readdirSync } from 'node:fs'
 import { tmpdir } from 'node:os'
--- a/playground/__tests__/thinLink.spec.ts
+++ b/playground/__tests__/thinLink.spec.ts
@@ -1,13 +1,10 @@
 /**
- * What users saw: after all nodes of a site with thin links had lost power for a second, no job
- * ran any more, to the end of the day; 635 accepted ones counted as lost.
- * Order of events: the nodes start; those that take services over read all jobs of the last
- * minutes; a page takes longer than the limit of a call, is thrown away and asked for again;
- * the store is held silent, the lease ends, others take over and begin the same.
- * Cause: limits in fixed time for what grows with the site, tries that begin anew, and the
- * node's own link taken for the store's silence.
- * Evidence: 'takeoverWaits' again and again for 20 s while the store answered in 4 ms; with
- * links of 200 instead of 2 Mbit/s the same day broke no rule.
+ * Guards against takeovers that never complete behind slow links: after a loss of power of one
+ * second, a site ran no job any more, and 635 accepted jobs were lost. The new owners read all
+ * jobs of the last minutes. A page took longer than the fixed time-out of a call and was
+ * discarded and requested again; the store, which answered in 4 ms, counted as silent; the lease
+ * expired, and the next owner started again. 'takeoverWaits' was repeated for 20 s. With links
+ * of 200 instead of 2 Mbit/s nothing was lost.
  */
 import { describe, it } from '../../test/describe.js'
 import { isReady, waitUntil } from '../../test/nodeProbe.js'
@@ -20,7 +17,7 @@
 
 const LINK_MBPS = 1.4
 
-/** A job with a text of the largest usual size. */
+/** A job whose spec has the largest usual size. */
 const jobOf = (number: number) =>
   jobSchema.parse({
     id: number.toString(16).padStart(16, '0'),
@@ -45,10 +42,10 @@
 const isOver = ({ table }: SimPlatform, number: number): boolean =>
   table.get(endedKey(QUEUE_NAME, jobOf(number).id)) !== undefined
 
-describe('a node behind a thin link', () => {
-  it('takes over what is open, however much a page weighs', async (t) => {
+describe('a node behind a slow link', () => {
+  it('takes over open jobs whatever the size of a page', async (t) => {
     const platform = await startPlatform()
-    // 2.4 MB of rows, of which a part takes 1.7 s and all of them 14 s.
+    // 2.4 MB of rows: over the link, one part takes 1.7 s and all parts take 14 s.
     const count = 480
     for (let number = 1; number <= count; number++) {
       const job = jobOf(number)
@@ -61,13 +58,13 @@
     const first = platform.ledger.entries.length
     t.true(await waitUntil(() => platform.ledger.entries.length > first + 2 * count - 1))
     const took = node.output().match(/"ownershipTaken"[^\n]*"service":"one"/g) ?? []
-    t.is(took.length, 1, 'it has kept the service meanwhile')
+    t.is(took.length, 1, 'the node keeps the ownership throughout')
     await node.kill()
     link.close()
     await platform.close()
   })
 
-  it('reads nothing of what is over', async (t) => {
+  it('reads no jobs that have ended', async (t) => {
     const platform = await startPlatform()
     const before = await startNodeProcess(platform, 'n1', 'h1')
     t.true(await waitUntil(() => isReady(before)))
--- a/playground/__tests__/weakOwner.spec.ts
+++ b/playground/__tests__/weakOwner.spec.ts
@@ -1,11 +1,9 @@
 /**
- * What callers saw: after all nodes of a site had lost power, accepted jobs stood still while
- * targets had room, some to the end of the day.
- * Order of events: two nodes with 0.12 of a core and links of 1.4 Mbit/s start and own all
- * services between them; hundreds of jobs of eight queues are open; each owner reads the intake
- * of all queues before it calls a target, and each node does so once for each of its services.
- * Cause: nothing began before everything was read, and what was read was mostly others' jobs.
- * Evidence: `ownerStarted` 6.4 to 11 s after `ownershipTaken`, and the first start after that.
+ * Guards against owners that start no task before they have read the intake of all queues. After
+ * a loss of power, two nodes with 0.12 of a core and links of 1.4 Mbit/s own all services, and
+ * hundreds of jobs of eight queues are open. When a node read all queues, mostly with jobs of
+ * other services, once for each service that it owned, `ownerStarted` came 6.4 to 11 s after
+ * `ownershipTaken`, and accepted jobs waited although targets had room, some of them for good.
  */
 import { describe, it } from '../../test/describe.js'
 import { waitUntil } from '../../test/nodeProbe.js'
@@ -24,8 +22,8 @@
 const SERVICES = ['a', 'b', 'c', 'd']
 const JOBS_PER_QUEUE = 60
 /**
- * Longest time from the start of the nodes to the first start of a task of each service, in ms.
- * The users ask that a site serves again 12 s after its machines are back.
+ * Longest time from the first configuration to the first start of a task of each service, in ms.
+ * Users require that a site serves again within 12 s of the return of its machines.
  */
 const MAX_FIRST_START_MS = 12_000
 
@@ -56,7 +54,7 @@
 
 let nextId = 0
 
-/** A job with a text of a usual size. */
+/** A job whose spec has a usual size. */
 function jobOf(queue: string, service: string): JobSpec {
   nextId++
   return jobSchema.parse({
@@ -79,7 +77,7 @@
   return platform
 }
 
-/** Fills the queues; the jobs by service. */
+/** Writes open jobs of all queues to the store; returns them by service. */
 function fillQueues({ table }: SimPlatform): Map<string, JobSpec[]> {
   const jobs = new Map<string, JobSpec[]>()
   for (const service of SERVICES) {
@@ -93,13 +91,13 @@
   return jobs
 }
 
-/** A node behind a thin link that runs and owns nothing yet. */
+/** Starts a node behind a slow link and throttles it once it runs; it owns no service yet. */
 async function startWeakNode(platform: SimPlatform, name: string) {
   const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
   const thin = { ...platform, storeAddress: link.address }
   const node = await startNodeProcess(thin, name, 'h1')
   const isUp = await waitUntil(() => node.output().includes('"nodesSeen"'))
-  // From here on: reading the program's files would take most of the time that is measured.
+  // Throttled only now, as loading the program would take most of the measured time.
   const processor = throttleCpu(node.child, PROCESSOR_SHARE)
   return {
     isUp,
