--- a/playground/__tests__/cluster.spec.ts
+++ b/playground/__tests__/cluster.spec.ts
@@ -41,7 +41,7 @@
     },
   })
   t.teardown(() => cluster.stop())
-  await waitUntil(() => allServe(cluster))
+  await waitUntil(() => hasEnoughTargets(cluster))
   return { cluster, events }
 }
 
@@ -49,7 +49,7 @@
   while (!(await check())) await new Promise((resolve) => setTimeout(resolve, 20))
 }
 
-function allServe(cluster: Cluster): boolean {
+function hasEnoughTargets(cluster: Cluster): boolean {
   const wanted = { timing: 2, boards: 2, esim: 3 }
   return cluster
     .entries()
--- a/playground/__tests__/node.spec.ts
+++ b/playground/__tests__/node.spec.ts
@@ -41,7 +41,7 @@
   throw new Error(`${url} did not open`)
 }
 
-async function untilReady(nodes: NodeProcess[]): Promise<void> {
+async function waitUntilReady(nodes: NodeProcess[]): Promise<void> {
   for (const node of nodes) {
     for (let tries = 0; tries < 100; tries++) {
       const res = await request(`http://${node.readiness}/readiness`).catch(
@@ -72,7 +72,7 @@
   const nodes = await Promise.all(
     names.map((name, each) => startNodeProcess(platform, name, `h${(each % 2) + 1}`)),
   )
-  await untilReady(nodes)
+  await waitUntilReady(nodes)
   return { platform, nodes }
 }
 
@@ -179,7 +179,7 @@
     const text = readFileSync(node.settingsFile, 'utf8')
     writeFileSync(node.settingsFile, text.replace('heartbeat', 'call'))
     node.child.kill('SIGHUP')
-    await untilReady([node])
+    await waitUntilReady([node])
     const job = { spec: '{}', steps: [{ count: 1, cpu: 100, estimated_ms: 10 }] }
     t.is((await call(node, 'POST', `/one/${jobId(1)}`, job)).status, 200)
     await Promise.all([node, ...nodes].map((each) => each.kill()))
@@ -192,7 +192,7 @@
     const node = await startNodeProcess(platform, 'n9', 'h1', {
       moreSettings: contracts,
     })
-    await untilReady([node])
+    await waitUntilReady([node])
     const job = { spec: '{}', steps: [{ count: 1, cpu: 100, estimated_ms: 10 }] }
     t.is((await call(node, 'POST', `/one/${jobId(1)}`, job)).status, 200)
     t.regex(node.output(), /"level":"error".*"contractsUnknown".*\["magic"\]/)
--- a/playground/__tests__/thinLink.spec.ts
+++ b/playground/__tests__/thinLink.spec.ts
@@ -39,7 +39,7 @@
   return platform
 }
 
-const isOver = ({ table }: SimPlatform, number: number): boolean =>
+const hasEnded = ({ table }: SimPlatform, number: number): boolean =>
   table.get(endedKey(QUEUE_NAME, jobOf(number).id)) !== undefined
 
 describe('a node behind a slow link', () => {
@@ -52,13 +52,13 @@
       platform.table.put(intakeKey(QUEUE_NAME, job.id), encodeJob(job))
     }
     const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
-    const thin = { ...platform, storeAddress: link.address }
-    const node = await startNodeProcess(thin, 'n1', 'h1')
+    const limitedPlatform = { ...platform, storeAddress: link.address }
+    const node = await startNodeProcess(limitedPlatform, 'n1', 'h1')
     t.true(await waitUntil(() => isReady(node)))
     const first = platform.ledger.entries.length
     t.true(await waitUntil(() => platform.ledger.entries.length > first + 2 * count - 1))
-    const took = node.output().match(/"ownershipTaken"[^\n]*"service":"one"/g) ?? []
-    t.is(took.length, 1, 'the node keeps the ownership throughout')
+    const takeovers = node.output().match(/"ownershipTaken"[^\n]*"service":"one"/g) ?? []
+    t.is(takeovers.length, 1, 'the node keeps the ownership throughout')
     await node.kill()
     link.close()
     await platform.close()
@@ -74,7 +74,7 @@
       platform.table.put(intakeKey(QUEUE_NAME, job.id), encodeJob(job))
     }
     const numbers = Array.from({ length: count }, (_, each) => each + 1)
-    t.true(await waitUntil(() => numbers.every((number) => isOver(platform, number))))
+    t.true(await waitUntil(() => numbers.every((number) => hasEnded(platform, number))))
     await before.kill()
     const open = jobOf(count + 1)
     platform.table.put(intakeKey(QUEUE_NAME, open.id), encodeJob(open))
@@ -86,7 +86,7 @@
     )
     const started = /"ownerStarted"[^\n]*"service":"one"[^\n]*"jobs":1[,}]/
     t.true(await waitUntil(() => started.test(node.output())))
-    t.true(await waitUntil(() => isOver(platform, count + 1)))
+    t.true(await waitUntil(() => hasEnded(platform, count + 1)))
     await node.kill()
     link.close()
     await platform.close()
--- a/playground/__tests__/weakOwner.spec.ts
+++ b/playground/__tests__/weakOwner.spec.ts
@@ -18,7 +18,7 @@
 import type { SimPlatform } from '../sim/wireServer.js'
 
 const LINK_MBPS = 1.4
-const PROCESSOR_SHARE = 0.12
+const CPU_SHARE = 0.12
 const SERVICES = ['a', 'b', 'c', 'd']
 const JOBS_PER_QUEUE = 60
 /**
@@ -94,16 +94,16 @@
 /** Starts a node behind a slow link and throttles it once it runs; it owns no service yet. */
 async function startWeakNode(platform: SimPlatform, name: string) {
   const link = await openRateLimitedLink(platform.storeAddress, LINK_MBPS)
-  const thin = { ...platform, storeAddress: link.address }
-  const node = await startNodeProcess(thin, name, 'h1')
+  const limitedPlatform = { ...platform, storeAddress: link.address }
+  const node = await startNodeProcess(limitedPlatform, name, 'h1')
   const isUp = await waitUntil(() => node.output().includes('"nodesSeen"'))
   // Throttled only now, as loading the program would take most of the measured time.
-  const processor = throttleCpu(node.child, PROCESSOR_SHARE)
+  const throttle = throttleCpu(node.child, CPU_SHARE)
   return {
     isUp,
     output: node.output,
     async stop() {
-      processor.close()
+      throttle.close()
       await node.kill()
       link.close()
     },
@@ -120,25 +120,29 @@
     )
     for (const node of nodes) t.teardown(node.stop)
     t.true(nodes.every(({ isUp }) => isUp))
-    const begunAt = performance.now()
+    const startedAt = performance.now()
     platform.putConfiguration(configuration)
     const { entries } = platform.ledger
-    const isServed = (service: string): boolean =>
+    const hasStarted = (service: string): boolean =>
       entries.some(({ task }) => jobs.get(service)!.some(({ id }) => task.startsWith(id)))
-    const servedMs = new Map<string, number>()
-    while (servedMs.size < SERVICES.length && performance.now() - begunAt < 30_000) {
-      for (const service of SERVICES.filter(isServed)) {
-        if (!servedMs.has(service)) servedMs.set(service, performance.now() - begunAt)
+    const firstStartMs = new Map<string, number>()
+    while (
+      firstStartMs.size < SERVICES.length &&
+      performance.now() - startedAt < 30_000
+    ) {
+      for (const service of SERVICES.filter(hasStarted)) {
+        if (!firstStartMs.has(service))
+          firstStartMs.set(service, performance.now() - startedAt)
       }
       await sleep(50)
     }
-    t.log(Object.fromEntries(servedMs))
+    t.log(Object.fromEntries(firstStartMs))
     for (const service of SERVICES)
-      t.true((servedMs.get(service) ?? Infinity) < MAX_FIRST_START_MS)
+      t.true((firstStartMs.get(service) ?? Infinity) < MAX_FIRST_START_MS)
     const all = [...jobs.values()].flat()
-    const isOver = (job: JobSpec): boolean =>
+    const hasEnded = (job: JobSpec): boolean =>
       platform.table.get(endedKey(job.queue, job.id)) !== undefined
-    t.true(await waitUntil(() => all.every(isOver)))
+    t.true(await waitUntil(() => all.every(hasEnded)))
     t.is(entries.filter(({ what }) => what === 'start').length, all.length)
     for (const node of nodes)
       t.log(node.output().match(/"name":"(ownership\w+|ownerStarted|takeover\w+)"/g))
--- a/playground/sim/simLinks.ts
+++ b/playground/sim/simLinks.ts
@@ -64,7 +64,7 @@
           spec: each.spec,
           untilMs: each.leaseUntilMs,
           token: each.token,
-          saved: each.checkpoint,
+          checkpoint: each.checkpoint,
         }),
       }))
       return res.map(({ clockMs, verdict }) =>
@@ -78,18 +78,18 @@
     pace: ({ task, run, percent, token }, timeoutMs) =>
       execute(timeoutMs, (target) => target.pace(task, run, percent, token)),
     async sync({ token, ackedSeq, leaseUntilMs, waitMs }, timeoutMs) {
-      const hold = { token, lastSeen: ackedSeq, untilMs: leaseUntilMs }
+      const syncOrder = { token, lastSeen: ackedSeq, untilMs: leaseUntilMs }
       if (waitMs > 0) {
-        const first = await execute(timeoutMs, (target) => target.sync(hold))
+        const first = await execute(timeoutMs, (target) => target.sync(syncOrder))
         if (first.isErr()) return err(first.error)
-        const life = find()
-        await life?.waitForEnd(waitMs)
-        if (find() !== life) return err(orderError('unanswered', 'connection reset'))
+        const target = find()
+        await target?.waitForEnd(waitMs)
+        if (find() !== target) return err(orderError('unanswered', 'connection reset'))
       }
       const res = await execute(timeoutMs, (target) => ({
         lifeStartMs: target.lifeStartMs,
         clockMs: target.clockMs(),
-        report: target.sync(hold),
+        report: target.sync(syncOrder),
       }))
       if (res.isErr()) return err(res.error)
       const { lifeStartMs, clockMs, report } = res.value
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -78,7 +78,7 @@
   spec: SimTaskSpec
   timer: NodeJS.Timeout | undefined
   /** Checkpoint given with the start order. */
-  saved: string
+  checkpoint: string
   /** Ordered pace, in percent of full speed. */
   pace: number
   startedAt: number
@@ -108,7 +108,7 @@
     spec: string
     untilMs: number
     token: number
-    saved: string
+    checkpoint: string
   }): StartVerdict
   /** Stops a run after `stopMs`. False if the token is fenced. */
   stop(task: string, run: number, token: number): boolean
@@ -153,7 +153,7 @@
   let ends: ReportedEnd[] = []
   let seq = 0
   let highestToken = 0
-  let leaseUntil = 0
+  let leaseUntilMs = 0
   let leaseTimer: NodeJS.Timeout | undefined
   let usedCpu = 0
   let hasCrashed = false
@@ -200,15 +200,21 @@
     usedCpu -= active.spec.cpu ?? 0
     lastRun.set(active.task, active.run)
     seq++
-    ends.push({ seq, task: active.task, run: active.run, kind, checkpoint: active.saved })
+    ends.push({
+      seq,
+      task: active.task,
+      run: active.run,
+      kind,
+      checkpoint: active.checkpoint,
+    })
     record(kind, active.task, active.run)
     for (const wake of waiters.splice(0)) wake()
   }
 
-  const extend = (untilMs: number): void => {
-    leaseUntil = Math.max(leaseUntil, untilMs)
+  const extendLease = (untilMs: number): void => {
+    leaseUntilMs = Math.max(leaseUntilMs, untilMs)
     clearTimeout(leaseTimer)
-    const left = leaseUntil - clockMs()
+    const left = leaseUntilMs - clockMs()
     leaseTimer = setTimeout(() => {
       for (const active of [...runs.values()]) end(active, 'lapsed')
     }, left)
@@ -242,11 +248,11 @@
     startedAt,
     faults,
     clockMs,
-    start({ task, run, spec, untilMs, token, saved }) {
+    start({ task, run, spec, untilMs, token, checkpoint }) {
       if (isFenced(token)) return 'fence'
       const parsed = JSON.parse(spec === '' ? '{}' : spec) as SimTaskSpec
       const present = runs.get(task)
-      extend(untilMs)
+      extendLease(untilMs)
       if (present?.run === run) return 'accepted'
       if (present || run <= (lastRun.get(task) ?? 0)) return 'old'
       if (untilMs <= clockMs()) return 'late'
@@ -257,7 +263,7 @@
         run,
         spec: parsed,
         timer: undefined,
-        saved,
+        checkpoint,
         pace: 100,
         startedAt: monotonicMs(),
         takesMs: faults.hangs ? Infinity : (parsed.ms ?? 10) * faults.slowness,
@@ -287,12 +293,12 @@
     },
     sync({ token, lastSeen, untilMs }) {
       if (isFenced(token)) return undefined
-      if (untilMs !== undefined) extend(untilMs)
+      if (untilMs !== undefined) extendLease(untilMs)
       acknowledgeEnds(lastSeen)
       const present = [...runs.values()].map((active) => ({
         task: active.task,
         run: active.run,
-        checkpoint: active.saved,
+        checkpoint: active.checkpoint,
         percent: faults.percent ?? progressPercent(active),
         load: 0,
       }))
--- a/playground/sim/storeHandlers.ts
+++ b/playground/sim/storeHandlers.ts
@@ -35,7 +35,7 @@
 
 /** Handlers of the store. A refused call is answered 503, one of unknown outcome 500 after 5 s. */
 export function storeHandlers(store: RowStore): Record<string, Handler> {
-  const failed = async (failure: string): Promise<Reply> => {
+  const replyToFailure = async (failure: string): Promise<Reply> => {
     if (failure === 'compacted') return [410]
     if (failure === 'refused') return [503]
     await sleep(UNANSWERED_CUT_MS)
@@ -55,7 +55,7 @@
         })),
         removals: ((body.remove ?? []) as Body[]).map(toKey),
       })
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       if (!res.value.committed) return [412, { rows: res.value.current.map(toWireRow) }]
       return [200, { ver: res.value.version, now_ms: Math.floor(performance.now()) }]
     },
@@ -68,14 +68,14 @@
         query.get('part') ?? '',
         range,
       )
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       const limit = Number(query.get('limit') ?? 500)
       const rows = res.value.rows.slice(0, limit).map(toWireRow)
       return [200, { rows, more: res.value.rows.length > limit, ver: res.value.version }]
     },
     async 'GET /rows-parts'({ query }) {
       const res = await store.parts(query.get('table') ?? '')
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       const after = query.get('after_revision') ?? ''
       return [200, { parts: res.value.filter((part) => part > after), more: false }]
     },
@@ -83,7 +83,7 @@
       const after = Number(query.get('after_revision'))
       const wait = Number(query.get('wait_ms') ?? 0)
       const res = await store.changes(query.get('table') ?? '', after, wait)
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       return [200, { rows: res.value.changes.map(toWireRow), ver: res.value.version }]
     },
   }
--- a/playground/sim/targetHandlers.ts
+++ b/playground/sim/targetHandlers.ts
@@ -20,7 +20,7 @@
         spec: String(body.spec ?? ''),
         untilMs: Number(body.until_ms),
         token: Number(body.fencing_token ?? 0),
-        saved: String(body.saved ?? ''),
+        checkpoint: String(body.saved ?? ''),
       })
       const clock = { clock_ms: target.clockMs() }
       return verdict === 'accepted' ? [200, clock] : [409, { ...clock, reason: verdict }]
--- a/playground/soak/faultLink.ts
+++ b/playground/soak/faultLink.ts
@@ -34,21 +34,21 @@
   isSilent: boolean
 }
 
-function createPipe(to: Socket, way: Direction, link: FaultLink): Pipe {
-  const pieces: { dueAt: number; data: Buffer | undefined }[] = []
+function createPipe(to: Socket, direction: Direction, link: FaultLink): Pipe {
+  const queue: { dueAt: number; data: Buffer | undefined }[] = []
   const isDue = (): boolean =>
-    pieces.length > 0 && !link.cut.has(way) && pieces[0]!.dueAt <= performance.now()
+    queue.length > 0 && !link.cut.has(direction) && queue[0]!.dueAt <= performance.now()
 
   const pipe: Pipe = {
     isSilent: false,
     push(data) {
       if (pipe.isSilent) return
-      pieces.push({ dueAt: performance.now() + link.delayMs, data })
+      queue.push({ dueAt: performance.now() + link.delayMs, data })
       pipe.flush()
     },
     flush() {
       while (isDue()) {
-        const { data } = pieces.shift()!
+        const { data } = queue.shift()!
         if (data && !to.destroyed) to.write(data)
         else to.end()
       }
@@ -64,8 +64,8 @@
   let lastFaultAt = -Infinity
   const recordFault = (): void => void (lastFaultAt = performance.now())
 
-  const connectPipe = (from: Socket, to: Socket, way: Direction): void => {
-    const pipe = createPipe(to, way, link)
+  const connectPipe = (from: Socket, to: Socket, direction: Direction): void => {
+    const pipe = createPipe(to, direction, link)
     pipes.add(pipe)
     sockets.add(from)
     from.on('data', (data: Buffer) => pipe.push(data))
--- a/playground/soak/injectFault.ts
+++ b/playground/soak/injectFault.ts
@@ -32,12 +32,12 @@
   const kind = FAULT_KINDS[fault.kind]
   if (!kind) throw new Error(`unknown kind of fault: ${fault.kind}`)
   const begin = () => trackersOf(fault.kind, trackers).map((tracker) => tracker.begin())
-  const isAtEdges = DISTURBS_AT_EDGES.includes(fault.kind)
+  const disturbsAtEdges = DISTURBS_AT_EDGES.includes(fault.kind)
   let ends = begin()
   const undo = kind.begin(ctx, fault)
-  if (isAtEdges) ends.forEach((end) => end())
+  if (disturbsAtEdges) ends.forEach((end) => end())
   await sleep(fault.forMs)
-  if (isAtEdges) ends = begin()
+  if (disturbsAtEdges) ends = begin()
   if (undo) await undo()
   ends.forEach((end) => end())
 }
--- a/playground/soak/nodes.ts
+++ b/playground/soak/nodes.ts
@@ -115,9 +115,9 @@
         child?.kill('SIGTERM')
         await sleep(20)
       }
-      const late = setTimeout(() => child?.kill('SIGKILL'), STOP_TIMEOUT_MS)
+      const killTimer = setTimeout(() => child?.kill('SIGKILL'), STOP_TIMEOUT_MS)
       await exited
-      clearTimeout(late)
+      clearTimeout(killTimer)
     },
     async waitUntilReady() {
       const endsAt = performance.now() + READY_TIMEOUT_MS
