--- a/playground/soak/stallDetector.ts
+++ b/playground/soak/stallDetector.ts
@@ -61,10 +61,8 @@
     targets.find(({ vm }) => vm.target?.id === id)?.vm.target
 
   function isKnown(id: string, now: number): boolean {
-    const target = currentIncarnation(id)
-    return (
-      target !== undefined && now - (usableSince.get(target) ?? Infinity) > DISCOVERY_MS
-    )
+    const found = currentIncarnation(id)
+    return found !== undefined && now - (usableSince.get(found) ?? Infinity) > DISCOVERY_MS
   }
 
   const findVmWithRoom = (job: JobView, task: TaskView, now: number): SimVm | undefined =>
