--- a/playground/__tests__/lostOrders.spec.ts
+++ b/playground/__tests__/lostOrders.spec.ts
@@ -63,7 +63,7 @@
 }
 
 /** Starts an owner with one target and completes a first job on it. */
-async function startOwner(t: ExecutionContext) {
+async function startOwnerWithTarget(t: ExecutionContext) {
   const rig = createJobRig()
   rig.orders = createOrdersClient({})
   const target = await addLossyTarget(t, rig, 't1')
@@ -94,21 +94,21 @@
 describe('target that leaves orders unanswered', () => {
   describe('a start without an answer', () => {
     it('does not use up the time that callers allow', async (t) => {
-      const { rig, owner, target } = await startOwner(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 1)
       const tookMs = await timeToLastStart(rig, owner, [{ count: 1 }])
       t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('does not hold up the starts behind it', async (t) => {
-      const { rig, owner, target } = await startOwner(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 1)
       const tookMs = await timeToLastStart(rig, owner, [{ count: 8 }])
       t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('runs its task once, also when it is carried out late', async (t) => {
-      const { rig, owner, target } = await startOwner(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 2)
       await timeToLastStart(rig, owner, [{ count: 4 }])
       await sleep(LATE_MS * 2)
@@ -118,7 +118,7 @@
 
   describe('a poll without an answer', () => {
     it('does not use up the time that callers allow while tasks run', async (t) => {
-      const { rig, owner, target } = await startOwner(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       const longer = makeJob({ ms: 4000, cpu: 100 }, [{ count: 1 }])
       rig.submit(owner, longer)
       await sleep(IDLE_POLL_MS)
--- a/playground/fleet.ts
+++ b/playground/fleet.ts
@@ -57,7 +57,7 @@
   /** Fails a task, like a crash of its process. */
   failTask(id: string): Promise<void>
   /** Sets the state of a VM in the list to `leaving`. */
-  leave(vm: string): void
+  markLeaving(vm: string): void
   targetOf(task: string): TargetServer | undefined
   /** Number of changes of VMs, for conditional reads. */
   revision(): number
@@ -216,7 +216,7 @@
       delete task.target
       await target?.kill()
     },
-    leave(id) {
+    markLeaving(id) {
       const vm = vms.get(id)
       if (!vm) return
       vm.state = 'leaving'
--- a/playground/sim/simFleet.ts
+++ b/playground/sim/simFleet.ts
@@ -41,7 +41,7 @@
   startTarget(vm: SimVm, id?: string): void
   /** Crashes the target on a VM and removes its row. */
   endTarget(vm: SimVm): void
-  /** Ends the target on a VM and starts the next one in `pool` after `awayMs`. */
+  /** Ends the target on a VM and starts the next one in `pool` when the operation is over. */
   takeOffline(vm: SimVm, state: SimVm['state'], pool: string): void
   close(): void
 }
--- a/playground/soak/stallDetector.ts
+++ b/playground/soak/stallDetector.ts
@@ -14,7 +14,7 @@
 const MAX_STALL_MS = 3000
 const MAX_LASTING_TASK_STALL_MS = 6000
 /** Time after which nodes must know that a target is usable, in ms. */
-const DISCOVERY_MS = 1000
+const GRACE_MS = 1000
 /** Free CPU that a target must have, as a multiple of the task's need. */
 const ROOM_FACTOR = 2
 /** Longest time that a run may continue out of reach, in ms: a lease of 6 s plus clock skew. */
@@ -62,7 +62,7 @@
 
   function isKnown(id: string, now: number): boolean {
     const found = currentIncarnation(id)
-    return found !== undefined && now - (usableSince.get(found) ?? Infinity) > DISCOVERY_MS
+    return found !== undefined && now - (usableSince.get(found) ?? Infinity) > GRACE_MS
   }
 
   const findVmWithRoom = (job: JobView, task: TaskView, now: number): SimVm | undefined =>
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -97,7 +97,7 @@
    * the owner has read the jobs of the previous owner.
    */
   own(predecessorMayLive?: boolean): Promise<RigOwner>
-  /** Like `own`, but resolves as soon as the owner runs. */
+  /** The same, but resolves as soon as the owner runs. */
   beginOwning(predecessorMayLive?: boolean): Promise<RigOwner>
   /** Writes a job to the store and offers it to the owner. */
   submit(owner: ServiceOwner, job: JobSpec): void
