--- a/playground/soak/clients.ts
+++ b/playground/soak/clients.ts
@@ -134,10 +134,14 @@
   }
 
   /** Checks a state against the final one, if any, that was returned before the request. */
-  function checkState(job: JobView, state: string, shown: string | undefined): void {
+  function checkState(
+    job: JobView,
+    state: string,
+    previousState: string | undefined,
+  ): void {
     const isRight = STATE_CHECKS[state]?.(job) ?? false
-    if (!isRight || (shown !== undefined && shown !== state)) {
-      report('wrong state', `${job.id} is shown ${state}, before ${shown}`)
+    if (!isRight || (previousState !== undefined && previousState !== state)) {
+      report('wrong state', `${job.id} is shown ${state}, before ${previousState}`)
     }
     if (FINAL_STATES.includes(state)) job.outcome = state
   }
@@ -161,9 +165,9 @@
       }
     },
     async queryState(job) {
-      const shown = job.outcome
+      const previousState = job.outcome
       const { status, state } = await call('GET', job)
-      if (status === 200) return checkState(job, String(state), shown)
+      if (status === 200) return checkState(job, String(state), previousState)
       const knownMs = performance.now() - (job.acceptedAt ?? Infinity)
       if (status === 410 && knownMs > VISIBILITY_MS && disturbances.isUndisturbed()) {
         report('accepted job unknown', `${job.id} after ${Math.round(knownMs)} ms`)
--- a/playground/soak/faultKinds.ts
+++ b/playground/soak/faultKinds.ts
@@ -25,7 +25,7 @@
   /** Ids of draining targets with the monotonic time at which the list said so, in ms. */
   draining: Map<string, number>
   /** Address in entries of another writer; no order may arrive there. */
-  trapAddress: string
+  foreignAddress: string
   changeConfiguration(fault: Fault): void
   orderWave(fault: Fault): void
 }
@@ -283,14 +283,14 @@
     return () => gone.then(() => restartNode(node))
   }),
   configurationChanges: plannedFault(100, (ctx, fault) => ctx.changeConfiguration(fault)),
-  foreignEntry: plannedFault(4000, ({ platform, trapAddress, pools }, fault) => {
+  foreignEntry: plannedFault(4000, ({ platform, foreignAddress, pools }, fault) => {
     const key = { table: 'servers', part: '', key: `x/${fault.which}.${fault.at}` }
-    platform.table.put(key, foreignEntry(fault, pick(pools, fault), trapAddress))
+    platform.table.put(key, foreignEntry(fault, pick(pools, fault), foreignAddress))
     return () => platform.table.remove(key)
   }),
   entryOverwritten: plannedFault(3000, (ctx, fault) => {
     const { vm } = pick(ctx.targets, fault)
-    return unlist(vm, ctx, foreignEntry(fault, vm.pool, ctx.trapAddress))
+    return unlist(vm, ctx, foreignEntry(fault, vm.pool, ctx.foreignAddress))
   }),
   targetRestarts: { ...onTarget(1500, restartTarget), group: 'restart' },
   waveOrdered: {
--- a/playground/soak/jobView.ts
+++ b/playground/soak/jobView.ts
@@ -61,9 +61,14 @@
     }),
   )
 
-/** Number of ends of one kind; with `noted`, only those that the owner has acknowledged. */
-export const countEnds = (task: TaskView, what: LedgerEvent, noted = false): number =>
-  task.ends.filter((end) => end.what === what && (end.isNoted || !noted)).length
+/** Number of ends of one kind; with `acknowledgedOnly`, only those that the owner has acknowledged. */
+export const countEnds = (
+  task: TaskView,
+  what: LedgerEvent,
+  acknowledgedOnly = false,
+): number =>
+  task.ends.filter((end) => end.what === what && (end.isNoted || !acknowledgedOnly))
+    .length
 
 /** Whether all tasks of the steps that a task depends on are done. */
 export const areDependenciesDone = (
--- a/playground/soak/run.ts
+++ b/playground/soak/run.ts
@@ -10,7 +10,13 @@
 import type { SoakPlan } from './plan.js'
 import { injectFault } from './injectFault.js'
 import { createRunChecks } from './runChecks.js'
-import { configurationOf, HALLS, linkTargets, openTrap, QUEUES } from './setUp.js'
+import {
+  configurationOf,
+  HALLS,
+  linkTargets,
+  openForeignTarget,
+  QUEUES,
+} from './setUp.js'
 import { startPlatform } from './setUp.js'
 import { createStallDetector } from './stallDetector.js'
 import { createTraffic } from './traffic.js'
@@ -64,7 +70,7 @@
 
   const platform = await startPlatform(plan)
   const targets = await linkTargets(platform)
-  const trap = await openTrap(report)
+  const foreignTarget = await openForeignTarget(report)
   const random = createRandom(plan.seed + TRAFFIC_SEED_OFFSET)
   platform.table.faults.random = random
   const disturbances = createDisturbanceTracker()
@@ -113,7 +119,7 @@
     report,
   })
   const pools = QUEUES.map(({ service }) => service)
-  const trapAddress = `${HOST}:${portOf(trap)}`
+  const foreignAddress = `${HOST}:${portOf(foreignTarget)}`
   let version = 1
   const changeConfiguration = (change: SoakPlan['faults'][number]): void => {
     version += 1 + (change.which % 7)
@@ -126,7 +132,7 @@
     targets,
     pools,
     draining,
-    trapAddress,
+    foreignAddress,
     changeConfiguration,
     orderWave: waves.orderWave,
   }
@@ -159,8 +165,8 @@
   await Promise.all(nodes.map((node) => node.close()))
   await platform.close()
   for (const { link } of targets) link.close()
-  trap.close()
-  trap.closeAllConnections()
+  foreignTarget.close()
+  foreignTarget.closeAllConnections()
   const result: SoakResult = {
     seed: plan.seed,
     failures,
--- a/playground/soak/runChecks.ts
+++ b/playground/soak/runChecks.ts
@@ -40,7 +40,7 @@
   const draining = new Map<string, number>()
   const usedCpu = new Map<string, number>()
 
-  const isPrompt = (target: string): boolean =>
+  const appliesTimeBound = (target: string): boolean =>
     disturbances.isUndisturbed() && isReachable(target)
 
   const START_RULES: Record<string, Rule> = {
@@ -52,16 +52,16 @@
       !isLasting && countEnds(task, 'failed', true) >= queue.maxAttempts,
     'rejected job runs': ({ mayBeTaken }) => !mayBeTaken,
     'started on a draining target': (_job, _task, at, target) =>
-      isPrompt(target) &&
+      appliesTimeBound(target) &&
       at - (draining.get(target) ?? Infinity) > MAX_START_AFTER_DRAIN_MS,
     'ran after its cancel': ({ cancelAckedAt = Infinity }, _task, at, target) =>
       at - cancelAckedAt >
-      (isPrompt(target)
+      (appliesTimeBound(target)
         ? MAX_START_AFTER_CANCEL_MS
         : MAX_START_AFTER_CANCEL_DISTURBED_MS),
   }
   /** An acknowledged end is final: no run may have started after it. */
-  const NOTED_RULES: Record<string, Rule> = {
+  const ACKNOWLEDGED_END_RULES: Record<string, Rule> = {
     'ran after its end': ({ isLasting }, { ends, startedAt }) =>
       !isLasting &&
       ends.some((end) => end.what === 'done' && end.isNoted && end.at < startedAt),
@@ -91,7 +91,7 @@
       if (what === 'start') check(START_RULES, job, task, entry)
       recordEntry(task, entry)
       if (what === 'listed') return
-      if (what === 'noted') return check(NOTED_RULES, job, task, entry)
+      if (what === 'noted') return check(ACKNOWLEDGED_END_RULES, job, task, entry)
       const sign = what === 'start' ? 1 : -1
       const used = usedCpu.get(target) ?? 0
       usedCpu.set(target, used + sign * job.steps[task.step]!.cpu)
--- a/playground/soak/setUp.ts
+++ b/playground/soak/setUp.ts
@@ -74,7 +74,7 @@
   )
 
 /** Opens the server that entries of other writers point to. Reports each order that it receives. */
-export function openTrap(report: Report): ReturnType<typeof listen> {
+export function openForeignTarget(report: Report): ReturnType<typeof listen> {
   const reportOrder: Handler = ({ body }) => {
     report('order to a foreign entry', JSON.stringify(body))
     return [503]
--- a/playground/soak/waves.ts
+++ b/playground/soak/waves.ts
@@ -26,7 +26,7 @@
 
   const isCompleted = (id: number): boolean => platform.waveStatus(id) === 'completed'
 
-  const isAway = (name: string, id: number): boolean => {
+  const isInMaintenance = (name: string, id: number): boolean => {
     const vm = vms.find((each) => each.name === name)
     return (
       vm?.state === 'upkeep' &&
@@ -47,8 +47,9 @@
     },
     check() {
       for (const [id, { names, maximum }] of ordered) {
-        const away = names.filter((name) => isAway(name, id))
-        if (away.length > maximum) report('wave too wide', `${id}: ${away}`)
+        const inMaintenance = names.filter((name) => isInMaintenance(name, id))
+        if (inMaintenance.length > maximum)
+          report('wave too wide', `${id}: ${inMaintenance}`)
       }
     },
     async settle(ms) {
