--- a/playground/cluster.ts
+++ b/playground/cluster.ts
@@ -200,7 +200,7 @@
   return { id: plan.id, hall: plan.hall, role: plan.role, cfg, kernel, url }
 }
 
-/** Drafts and accepts edits that make the platform's table equal to `table`; resolves to its epoch. */
+/** Edits and accepts the table so that it equals `table`; resolves to its epoch. */
 export async function acceptTable(platformUrl: string, table: RawTable): Promise<number> {
   const editor = 'playground'
   const platform = createHttpPlatform({ url: platformUrl, timeoutMs: 2000, node: editor })
--- a/playground/sim/rateLimitedLink.ts
+++ b/playground/sim/rateLimitedLink.ts
@@ -15,7 +15,7 @@
   close(): void
 }
 
-/** Creates a function that queues bytes and writes up to `bytesPerStep` of them per interval. */
+/** Creates a function that queues bytes and writes up to `bytesPerStep` per interval, in order. */
 function createRateLimiter(bytesPerStep: number): (to: Socket, data: Buffer) => void {
   const waiting: { to: Socket; data: Buffer }[] = []
   const timer = setInterval(() => {
--- a/playground/sim/simLinks.ts
+++ b/playground/sim/simLinks.ts
@@ -9,7 +9,7 @@
 import { PlatformError, sleep } from '../../src/shared/index.js'
 import type { SimTarget, StartVerdict } from './simTarget.js'
 
-/** Longest time after which an unanswered order fails, in ms. */
+/** Longest wait for an answer that does not come, in ms. */
 const ANSWER_TIMEOUT_MS = 60
 
 const REFUSALS: Record<Exclude<StartVerdict, 'accepted'>, StartRefusal> = {
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -86,7 +86,7 @@
   takesMs: number
 }
 
-/** Progress of a run in percent. For tasks without a run time it is 100 from the start. */
+/** Progress of a run in percent. For tasks that run until stopped it is always 100. */
 function progressPercent({ spec, startedAt, takesMs }: ActiveRun): number {
   if (spec.ms === 0) return 100
   return Math.min(100, Math.floor((100 * (monotonicMs() - startedAt)) / takesMs))
--- a/playground/sim/wireServer.ts
+++ b/playground/sim/wireServer.ts
@@ -24,7 +24,7 @@
   vms: SimVm[]
   storeAddress: string
   cloudAddress: string
-  /** Maintenance that was carried out, in order. */
+  /** Maintenance of VMs, in the order in which it began. */
   maintained: MaintenanceRecord[]
   putConfiguration(text: unknown): void
   putWave(id: number, vms: string[], durationS: number, maximum: number): void
--- a/playground/soak/disturbances.ts
+++ b/playground/soak/disturbances.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks disturbances of nodes and the store. Time bounds are only checked while the system is
- * undisturbed.
+ * Tracks disturbances of nodes and the store. Most time bounds are only checked while the system
+ * is undisturbed.
  */
 
 /** Time since the last disturbance after which the system counts as undisturbed, in ms. */
@@ -11,7 +11,7 @@
 
 /** Record of disturbances. */
 export interface DisturbanceTracker {
-  /** Records the begin of a disturbance; call the result when it ends. */
+  /** Records the beginning of a disturbance; call the result when it ends. */
   begin(): () => void
   /** Time since the end of the last disturbance, in ms; 0 during a disturbance. */
   undisturbedMs(): number
--- a/playground/soak/jobView.ts
+++ b/playground/soak/jobView.ts
@@ -61,7 +61,7 @@
     }),
   )
 
-/** Number of ends of one kind; with `acknowledgedOnly`, only those that the owner has acknowledged. */
+/** Number of ends of one kind; with `acknowledgedOnly`, of those acknowledged by the owner. */
 export const countEnds = (
   task: TaskView,
   what: LedgerEvent,
@@ -79,7 +79,7 @@
     (other) => !steps[step]!.after.includes(other.step) || countEnds(other, 'done') > 0,
   )
 
-/** Whether a task has used up its attempts, by the failures reported to its owner. */
+/** Whether the job is over, as the owner knows that a task has used up its attempts. */
 export const hasExhaustedAttempts = ({ tasks, queue, isLasting }: JobView): boolean => {
   const isReportedFailure = ({ what, isListed }: EndView) => what === 'failed' && isListed
   const isExhausted = ({ ends }: TaskView) =>
--- a/test/foreignRows.ts
+++ b/test/foreignRows.ts
@@ -22,7 +22,7 @@
   fc.jsonValue(),
 )
 
-/** The text of a row with some fields replaced, cut short, or with its first number out of range. */
+/** The text of a row with fields replaced, cut short, or with its first number out of range. */
 const alteredRow = (text: string): fc.Arbitrary<string> => {
   const row = JSON.parse(text) as Record<string, unknown>
   const fields = fc.dictionary(fc.constantFrom(...Object.keys(row)), fieldValue, {
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -1,4 +1,4 @@
-/** An in-memory store, simulated targets and a configuration, for tests of owners without a network. */
+/** In-memory store, simulated targets and configuration for tests of owners without a network. */
 import type {
   Queue,
   Resources,
