--- a/playground/__tests__/cluster.spec.ts
+++ b/playground/__tests__/cluster.spec.ts
@@ -93,14 +93,14 @@
   report: LoadReport,
   events: LoggedEvent[],
 ): void {
-  const lost = report.records.filter(({ outcome }) => outcome !== 'answered')
-  if (lost.length === 0) return
-  for (const each of lost.slice(0, 20)) {
+  const unanswered = report.records.filter(({ outcome }) => outcome !== 'answered')
+  if (unanswered.length === 0) return
+  for (const each of unanswered.slice(0, 20)) {
     const own = events.filter(({ fields }) => fields['request'] === each.id)
     t.log(each, own)
   }
   t.log(
-    `${lost.length} requests`,
+    `${unanswered.length} requests`,
     events.filter(({ name }) => DIAGNOSTIC_EVENTS.test(name)),
   )
 }
--- a/playground/__tests__/foreignRows.spec.ts
+++ b/playground/__tests__/foreignRows.spec.ts
@@ -131,8 +131,8 @@
       nodes.filter(({ child }) => child.exitCode === null && !child.killed)
     for (let number = 1; number <= JOBS; number++) {
       await waitUntil(async () => {
-        const among = alive()
-        const node = among[number % among.length]!
+        const candidates = alive()
+        const node = candidates[number % candidates.length]!
         const res = await call(node, 'POST', jobId(number), JOB).catch(() => undefined)
         return res?.status === 200
       })
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -178,8 +178,8 @@
     ledger.watch?.(entry)
   }
 
-  const notifyWatcher = (what: 'listed' | 'noted', some: ReportedEnd[]): void => {
-    for (const { task, run } of some) {
+  const notifyWatcher = (what: 'listed' | 'noted', reported: ReportedEnd[]): void => {
+    for (const { task, run } of reported) {
       ledger.watch?.({ at: monotonicMs(), what, task, run, target: id })
     }
   }
--- a/playground/soak/faultKinds.ts
+++ b/playground/soak/faultKinds.ts
@@ -279,8 +279,8 @@
   ),
   nodeStop: plannedFault(1000, ({ nodes }, fault) => {
     const node = pick(nodes, fault)
-    const gone = node.stop(fault.level < 0.7 ? 1 : 2)
-    return () => gone.then(() => restartNode(node))
+    const exited = node.stop(fault.level < 0.7 ? 1 : 2)
+    return () => exited.then(() => restartNode(node))
   }),
   configurationChanges: plannedFault(100, (ctx, fault) => ctx.changeConfiguration(fault)),
   foreignEntry: plannedFault(4000, ({ platform, foreignAddress, pools }, fault) => {
--- a/playground/soak/traffic.ts
+++ b/playground/soak/traffic.ts
@@ -82,13 +82,13 @@
     }
   }
 
-  const open = (): JobView[] =>
+  const unfinishedJobs = (): JobView[] =>
     [...jobs.values()].filter((job) => job.acceptedAt !== undefined && !job.outcome)
 
   async function pollStates(endsAt: number): Promise<void> {
     const queries: Promise<void>[] = []
     while (performance.now() < endsAt) {
-      const known = open()
+      const known = unfinishedJobs()
       const job = known[between(0, known.length)]
       if (job) queries.push(clients.queryState(job))
       await sleep(QUERY_INTERVAL_MS)
@@ -110,14 +110,14 @@
       const since = performance.now()
       const isInTime = (job: JobView): boolean =>
         performance.now() - since < ms + maxRunMs(job)
-      while (open().some(isInTime)) {
-        for (const job of open()) {
+      while (unfinishedJobs().some(isInTime)) {
+        for (const job of unfinishedJobs()) {
           if (job.isLasting && job.cancelAckedAt === undefined) await clients.cancel(job)
           await clients.queryState(job)
         }
         await sleep(QUERY_INTERVAL_MS)
       }
-      return open()
+      return unfinishedJobs()
     },
   }
 }
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -281,14 +281,14 @@
 /**
  * Checks what the targets did against the guarantees: no task has two runs at once, and none
  * starts again after it was done. Returns a description of the first violation.
- * @param dead targets that crashed; runs on them count as ended
- * @param silent targets that were unreachable for longer than a lease; the owner may not know
+ * @param crashed targets that crashed; runs on them count as ended
+ * @param unreachable targets that were unreachable for longer than a lease; the owner may not know
  *   that a task was done there and may run it again
  */
 export function findBrokenPromise(
   ledger: RunLedger,
-  dead: ReadonlySet<string> = new Set(),
-  silent: ReadonlySet<string> = new Set(),
+  crashed: ReadonlySet<string> = new Set(),
+  unreachable: ReadonlySet<string> = new Set(),
 ): string | undefined {
   const active = new Map<string, string>()
   const done = new Set<string>()
@@ -296,10 +296,11 @@
     const other = active.get(task)
     if (what !== 'start') {
       if (other === target) active.delete(task)
-      if (what === 'done' && !dead.has(target) && !silent.has(target)) done.add(task)
+      if (what === 'done' && !crashed.has(target) && !unreachable.has(target))
+        done.add(task)
       continue
     }
-    if (other !== undefined && !dead.has(other)) {
+    if (other !== undefined && !crashed.has(other)) {
       return `${task} run ${run} started on ${target} while it ran on ${other}`
     }
     if (done.has(task)) return `${task} run ${run} started on ${target} after it was done`
