--- a/playground/__tests__/lostOrders.spec.ts
+++ b/playground/__tests__/lostOrders.spec.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against jobs that start too late because a target leaves an order of the owner
+ * unanswered, and against a second run when the order is carried out late.
+ */
 import type { ExecutionContext } from 'ava'
 import { createOrdersClient } from '../../platform/index.js'
 import { monotonicMs, sleep } from '../../src/shared/index.js'
@@ -9,20 +13,20 @@
 import { HOST, listen, portOf } from '../sim/wire.js'
 import type { Handler } from '../sim/wire.js'
 
-/** Time that callers allow a job beyond its work, in ms. */
-const ALLOWANCE_MS = 600
+/** Time that callers allow a job in addition to its run time, in ms. */
+const MAX_START_DELAY_MS = 600
 /** Run time of a task, in ms. */
 const TASK_MS = 50
-/** Unanswered orders are carried out so much later, in ms. */
+/** Delay after which unanswered orders are carried out, in ms. */
 const LATE_MS = 1500
-/** By then a poll that was sent to an idle target is over, in ms. */
+/** Time after which a poll that was sent to an idle target has ended, in ms. */
 const IDLE_POLL_MS = 1100
 const START = '/run-start'
 const POLL = '/hold'
 
-/** A target over HTTP that leaves some orders unanswered and carries them out late. */
+/** An HTTP target that leaves some orders unanswered and carries them out late. */
 interface LossyTarget {
-  /** Orders by path that the target leaves unanswered, counted down. */
+  /** Number of further orders that the target leaves unanswered, by path. */
   losses: Map<string, number>
 }
 
@@ -58,21 +62,21 @@
   return { losses }
 }
 
-/** An owner with one target, which has done a job. */
-async function startWarm(t: ExecutionContext) {
+/** Starts an owner with one target and completes a first job on it. */
+async function startOwnerWithTarget(t: ExecutionContext) {
   const rig = createJobRig()
   rig.orders = createOrdersClient({})
   const target = await addLossyTarget(t, rig, 't1')
   const owner = await rig.own()
   t.teardown(() => rig.stop())
-  const warm = makeJob({ ms: TASK_MS, cpu: 100 }, [{ count: 4 }])
-  rig.submit(owner, warm)
-  t.true(await rig.settled([warm], 3000))
+  const firstJob = makeJob({ ms: TASK_MS, cpu: 100 }, [{ count: 4 }])
+  rig.submit(owner, firstJob)
+  t.true(await rig.settled([firstJob], 3000))
   return { rig, owner, target }
 }
 
-/** Hands a job in and returns the time until its last task has begun, in ms. */
-async function begunAfter(
+/** Submits a job and returns the time until its last task has started, in ms. */
+async function timeToLastStart(
   rig: JobRig,
   owner: RigOwner,
   steps: Parameters<typeof makeJob>[1],
@@ -90,23 +94,23 @@
 describe('target that leaves orders unanswered', () => {
   describe('a start without an answer', () => {
     it('does not use up the time that callers allow', async (t) => {
-      const { rig, owner, target } = await startWarm(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 1)
-      const tookMs = await begunAfter(rig, owner, [{ count: 1 }])
-      t.true(tookMs < ALLOWANCE_MS, `begun after ${Math.round(tookMs)} ms`)
+      const tookMs = await timeToLastStart(rig, owner, [{ count: 1 }])
+      t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('does not hold up the starts behind it', async (t) => {
-      const { rig, owner, target } = await startWarm(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 1)
-      const tookMs = await begunAfter(rig, owner, [{ count: 8 }])
-      t.true(tookMs < ALLOWANCE_MS, `begun after ${Math.round(tookMs)} ms`)
+      const tookMs = await timeToLastStart(rig, owner, [{ count: 8 }])
+      t.true(tookMs < MAX_START_DELAY_MS, `begun after ${Math.round(tookMs)} ms`)
     })
 
     it('runs its task once, also when it is carried out late', async (t) => {
-      const { rig, owner, target } = await startWarm(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       target.losses.set(START, 2)
-      await begunAfter(rig, owner, [{ count: 4 }])
+      await timeToLastStart(rig, owner, [{ count: 4 }])
       await sleep(LATE_MS * 2)
       t.is(findBrokenPromise(rig.ledger), undefined)
     })
@@ -114,17 +118,20 @@
 
   describe('a poll without an answer', () => {
     it('does not use up the time that callers allow while tasks run', async (t) => {
-      const { rig, owner, target } = await startWarm(t)
+      const { rig, owner, target } = await startOwnerWithTarget(t)
       const longer = makeJob({ ms: 4000, cpu: 100 }, [{ count: 1 }])
       rig.submit(owner, longer)
       await sleep(IDLE_POLL_MS)
       target.losses.set(POLL, 1)
       while (target.losses.get(POLL) !== 0) await sleep(1)
-      const tookMs = await begunAfter(rig, owner, [
+      const tookMs = await timeToLastStart(rig, owner, [
         { count: 1 },
         { count: 1, after: [0] },
       ])
-      t.true(tookMs < ALLOWANCE_MS + TASK_MS, `begun after ${Math.round(tookMs)} ms`)
+      t.true(
+        tookMs < MAX_START_DELAY_MS + TASK_MS,
+        `begun after ${Math.round(tookMs)} ms`,
+      )
     })
   })
 })
--- a/playground/main.ts
+++ b/playground/main.ts
@@ -1,4 +1,4 @@
-/** `npm start`: two data halls, a platform and light load in one process. */
+/** `npm start`: two data halls, a stand-in platform and a light load in one process. */
 import { createLogger } from '../src/shared/index.js'
 import type { Cluster } from './cluster.js'
 import { startCluster } from './cluster.js'
@@ -7,7 +7,7 @@
 
 const BASE_PORT = 7000
 const SEED = 20261202
-const LIGHT_RATE = 20
+const REQUESTS_PER_SECOND = 20
 const SERVICES = ['timing', 'boards', 'esim']
 const LOAD_SLICE_S = 10
 
@@ -31,12 +31,12 @@
 await waitForService(cluster)
 printHints(cluster)
 
-await keepLoading(cluster)
-console.log('\nstopping: requests in flight end first')
+await runBackgroundLoad(cluster)
+console.log('\nstopping after the requests in flight have ended')
 await cluster.stop()
 console.log('stopped')
 
-/** Waits until every entry answers for every service. */
+/** Waits until every entry answers requests to every service. */
 async function waitForService(running: Cluster): Promise<void> {
   for (const entry of running.entries()) {
     for (const service of SERVICES) await waitFor(`${entry.url}/${service}/hello`)
@@ -52,13 +52,13 @@
   }
 }
 
-async function keepLoading(running: Cluster): Promise<void> {
+async function runBackgroundLoad(running: Cluster): Promise<void> {
   const totals = { answered: 0, notRun: 0, unknown: 0 }
   for (let slice = 0; !stopping.signal.aborted; slice++) {
     const report = await runLoad({
       urls: running.entries().map((entry) => entry.url),
       services: SERVICES,
-      rate: LIGHT_RATE,
+      rate: REQUESTS_PER_SECOND,
       seconds: LOAD_SLICE_S,
       seed: SEED + slice,
       unrepeatableShare: 0.5,
--- a/playground/sim/cloudHandlers.ts
+++ b/playground/sim/cloudHandlers.ts
@@ -1,4 +1,4 @@
-/** Control of VMs of the stand-in platform in the platform's wire format. */
+/** HTTP handlers of the stand-in platform for the list, moves and maintenance of VMs. */
 import type { SimFleet, SimVm } from './simFleet.js'
 import type { Body, Handler } from './wire.js'
 
@@ -12,7 +12,7 @@
   id: target?.id ?? null,
 })
 
-/** Answers for the cloud. Moves go to the named pools only. */
+/** Handlers of the cloud interface. A move to a pool that is not in `pools` is answered 400. */
 export function cloudHandlers(
   fleet: SimFleet,
   pools: readonly string[],
@@ -28,7 +28,7 @@
       if (!vm || !pools.includes(String(body.pool))) return [400]
       if (vm.pool === body.pool) return [200, {}]
       if (vm.state !== 'up') return [409, { reason: 'busy' }]
-      fleet.takeAway(vm, 'moving', String(body.pool))
+      fleet.takeOffline(vm, 'moving', String(body.pool))
       return [200, {}]
     },
     'POST /machine-upkeep'({ body }) {
@@ -39,7 +39,7 @@
         return [200, {}]
       if (vm.state !== 'up') return [409, { reason: 'busy' }]
       maintained.push({ vm: vm.name, wave })
-      fleet.takeAway(vm, 'upkeep', vm.pool)
+      fleet.takeOffline(vm, 'upkeep', vm.pool)
       return [200, {}]
     },
   }
--- a/playground/sim/simFleet.ts
+++ b/playground/sim/simFleet.ts
@@ -1,14 +1,14 @@
-/** VMs of the stand-in platform, and the lives of targets that run on them. */
+/** VMs of the stand-in platform and the targets that run on them. */
 import type { Resources, RowKey } from '../../src/ports/index.js'
 import type { RowTable } from './rowTable.js'
 import { createSimTarget } from './simTarget.js'
 import type { RunLedger, SimTarget } from './simTarget.js'
 import { HOST } from './wire.js'
 
-/** What the list of targets shows of a VM; `none`: its entry is not written. */
+/** State of a VM's target in the list of targets; `none`: the list has no entry for it. */
 export type Listing = 'ready' | 'draining' | 'none'
 
-/** A VM of the stand-in, with the life that runs on it. */
+/** A VM of the stand-in with its current target, if any. */
 export interface SimVm {
   name: string
   pool: string
@@ -21,28 +21,28 @@
   port: number
 }
 
-/** A VM that had its maintenance in a wave. */
-export interface Maintained {
+/** Records that a VM had its maintenance in a wave. */
+export interface MaintenanceRecord {
   vm: string
   wave: number
 }
 
-/** The VMs, and what happens to them. */
+/** The VMs and operations on them. */
 export interface SimFleet {
   vms: SimVm[]
-  maintained: Maintained[]
-  /** Adds a VM on which nothing runs yet. */
+  maintained: MaintenanceRecord[]
+  /** Adds a VM without a target. */
   add(pool: string, hall: string, capacity: Resources): SimVm
-  /** Writes the row of the target on a VM. */
-  beat(vm: SimVm): void
-  /** Changes what the list shows of a VM, at once. */
+  /** Writes the row of the target on a VM if the VM is up and listed. */
+  sendHeartbeat(vm: SimVm): void
+  /** Changes the listing of a VM and writes or removes the row at once. */
   list(vm: SimVm, listing: Listing): void
-  /** Starts a new life on a VM, under `id` or, by default, a new id. */
-  begin(vm: SimVm, id?: string): void
-  /** Ends the life on a VM. */
-  end(vm: SimVm): void
-  /** Ends the life on a VM, and starts the next one in `pool` after a while. */
-  takeAway(vm: SimVm, state: SimVm['state'], pool: string): void
+  /** Starts a new incarnation of the target on a VM, under `id` or, by default, a new id. */
+  startTarget(vm: SimVm, id?: string): void
+  /** Crashes the target on a VM and removes its row. */
+  endTarget(vm: SimVm): void
+  /** Ends the target on a VM and starts the next one in `pool` when the operation is over. */
+  takeOffline(vm: SimVm, state: SimVm['state'], pool: string): void
   close(): void
 }
 
@@ -50,17 +50,17 @@
 export function createSimFleet(opts: {
   table: RowTable
   ledger: RunLedger
-  /** Time that a move or maintenance takes, in ms. */
+  /** Duration of a move or maintenance, in ms. */
   awayMs: number
 }): SimFleet {
   const { table, ledger } = opts
   const vms: SimVm[] = []
   const timers = new Set<NodeJS.Timeout>()
-  let lives = 0
+  let incarnations = 0
 
   const rowOf = (id: string): RowKey => ({ table: 'servers', part: '', key: id })
 
-  const beat = (vm: SimVm): void => {
+  const sendHeartbeat = (vm: SimVm): void => {
     const { target, capacity } = vm
     if (!target || vm.state !== 'up' || vm.listing === 'none') return
     const value = {
@@ -76,18 +76,18 @@
   }
 
   const nextId = (): string => {
-    lives++
-    return `i-${lives.toString(16).padStart(8, '0')}`
+    incarnations++
+    return `i-${incarnations.toString(16).padStart(8, '0')}`
   }
 
-  const begin = (vm: SimVm, id = nextId()): void => {
+  const startTarget = (vm: SimVm, id = nextId()): void => {
     vm.target = createSimTarget({ id, capacity: vm.capacity, ledger })
     vm.state = 'up'
     vm.listing = 'ready'
-    beat(vm)
+    sendHeartbeat(vm)
   }
 
-  const end = (vm: SimVm): void => {
+  const endTarget = (vm: SimVm): void => {
     if (!vm.target) return
     vm.target.crash()
     table.remove(rowOf(vm.target.id))
@@ -116,21 +116,21 @@
       vms.push(vm)
       return vm
     },
-    beat,
+    sendHeartbeat,
     list(vm, listing) {
       vm.listing = listing
       if (listing === 'none' && vm.target) table.remove(rowOf(vm.target.id))
-      else beat(vm)
+      else sendHeartbeat(vm)
     },
-    begin,
-    end,
-    takeAway(vm, state, pool) {
-      end(vm)
+    startTarget,
+    endTarget,
+    takeOffline(vm, state, pool) {
+      endTarget(vm)
       vm.state = state
       vm.pool = pool
       const timer = setTimeout(() => {
         timers.delete(timer)
-        begin(vm)
+        startTarget(vm)
       }, opts.awayMs)
       timers.add(timer)
     },
--- a/playground/sim/simLinks.ts
+++ b/playground/sim/simLinks.ts
@@ -1,4 +1,4 @@
-/** Direct links to stand-in targets, for tests that need no wire. */
+/** Direct links to simulated targets, for tests without a network. */
 import { err, ok } from 'neverthrow'
 import type {
   OrderError,
@@ -9,7 +9,7 @@
 import { PlatformError, sleep } from '../../src/shared/index.js'
 import type { SimTarget, StartVerdict } from './simTarget.js'
 
-/** Time after which an unanswered order is given up at the latest, in ms. */
+/** Longest wait for an answer that does not come, in ms. */
 const ANSWER_TIMEOUT_MS = 60
 
 const REFUSALS: Record<Exclude<StartVerdict, 'accepted'>, StartRefusal> = {
@@ -24,17 +24,17 @@
   return { failure, reason, cause: new PlatformError(reason, { props }) }
 }
 
-/** Links by target id; an id that has no target any more counts as replaced. */
+/** Opens links by target id. Orders to an id without a target fail as `gone`. */
 export function createSimOrders(targets: Map<string, SimTarget>): TargetOrders {
   return { open: ({ id }) => createSimLink(() => targets.get(id)) }
 }
 
 function createSimLink(find: () => SimTarget | undefined): TargetLink {
-  /** Carries an order out as the faults of the target say. */
-  async function order<T>(timeoutMs: number, act: (target: SimTarget) => T) {
+  /** Carries out an order subject to the faults of the target. */
+  async function execute<T>(timeoutMs: number, action: (target: SimTarget) => T) {
     await sleep(1)
     const target = find()
-    if (!target) return err(orderError('gone', 'another life answered'))
+    if (!target) return err(orderError('gone', 'another incarnation answered'))
     const { silent, mute, lateMs, isLate } = target.faults
     const unanswered = async () => {
       await sleep(Math.min(ANSWER_TIMEOUT_MS, timeoutMs))
@@ -43,20 +43,20 @@
     if (silent) return unanswered()
     if (lateMs > 0 && isLate()) {
       setTimeout(() => {
-        // The target may have restarted in the meantime: the late order reaches its new life.
+        // After a restart of the target the late order reaches the new incarnation.
         const current = find()
-        if (current && !current.faults.silent) act(current)
+        if (current && !current.faults.silent) action(current)
       }, lateMs).unref()
       return unanswered()
     }
-    const answer = act(target)
+    const answer = action(target)
     await sleep(target.faults.delayMs)
     return mute ? unanswered() : ok(answer)
   }
 
   return {
     async start(each, timeoutMs) {
-      const res = await order(timeoutMs, (target) => ({
+      const res = await execute(timeoutMs, (target) => ({
         clockMs: target.clockMs(),
         verdict: target.start({
           task: each.task,
@@ -64,7 +64,7 @@
           spec: each.spec,
           untilMs: each.leaseUntilMs,
           token: each.token,
-          saved: each.checkpoint,
+          checkpoint: each.checkpoint,
         }),
       }))
       return res.map(({ clockMs, verdict }) =>
@@ -74,22 +74,22 @@
       )
     },
     stop: ({ task, run, token }, timeoutMs) =>
-      order(timeoutMs, (target) => target.stop(task, run, token)),
+      execute(timeoutMs, (target) => target.stop(task, run, token)),
     pace: ({ task, run, percent, token }, timeoutMs) =>
-      order(timeoutMs, (target) => target.pace(task, run, percent, token)),
+      execute(timeoutMs, (target) => target.pace(task, run, percent, token)),
     async sync({ token, ackedSeq, leaseUntilMs, waitMs }, timeoutMs) {
-      const hold = { token, lastSeen: ackedSeq, untilMs: leaseUntilMs }
+      const syncOrder = { token, lastSeen: ackedSeq, untilMs: leaseUntilMs }
       if (waitMs > 0) {
-        const first = await order(timeoutMs, (target) => target.hold(hold))
+        const first = await execute(timeoutMs, (target) => target.sync(syncOrder))
         if (first.isErr()) return err(first.error)
-        const life = find()
-        await life?.waitForEnd(waitMs)
-        if (find() !== life) return err(orderError('unanswered', 'connection reset'))
+        const target = find()
+        await target?.waitForEnd(waitMs)
+        if (find() !== target) return err(orderError('unanswered', 'connection reset'))
       }
-      const res = await order(timeoutMs, (target) => ({
+      const res = await execute(timeoutMs, (target) => ({
         lifeStartMs: target.lifeStartMs,
         clockMs: target.clockMs(),
-        report: target.hold(hold),
+        report: target.sync(syncOrder),
       }))
       if (res.isErr()) return err(res.error)
       const { lifeStartMs, clockMs, report } = res.value
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for a target: runs tasks under leases, refuses what is fenced, superseded,
- * late or too large, and lists ends until they are acknowledged. What a task does stands
- * in its spec, as JSON: `{"ms": 50, "cpu": 1000, "fail": false}`.
+ * Simulated target: runs tasks under leases, refuses orders that are fenced, superseded, expired
+ * or exceed its capacity, and reports ends of runs until they are acknowledged. The spec of a
+ * task is JSON that defines its behaviour: `{"ms": 50, "cpu": 1000, "fail": false}`.
  */
 import type {
   ReportedEnd,
@@ -11,21 +11,23 @@
 } from '../../src/ports/index.js'
 import { monotonicMs } from '../../src/shared/index.js'
 
-/** What a task does, by its spec. */
+/** Behaviour of a task, as given in its spec. */
 export interface SimTaskSpec {
-  /** Run time in ms; 0 for a task that lasts. */
+  /** Run time in ms; 0 for a task that runs until it is stopped. */
   ms?: number
+  /** CPU use in thousandths of a core. */
   cpu?: number
   fail?: boolean
   /** Time after which the task crashes its target, in ms. */
   crashMs?: number
 }
 
-/** What became of a run; `killed`: the target's life ended with the run on it. */
+/** Start or end of a run; `killed`: the target crashed during the run. */
 export type LedgerEvent = 'start' | 'killed' | RunEndKind
 
-/** One thing that a target has done. */
+/** An event of a run on a target. */
 export interface LedgerEntry<What = LedgerEvent> {
+  /** Monotonic time, in ms. */
   at: number
   what: What
   task: string
@@ -33,70 +35,72 @@
   target: string
 }
 
-/** What a watcher sees; `listed`, `noted`: the owner was told of an end, has acknowledged it. */
+/** Event passed to a watcher; `listed`: an end was reported to the owner; `noted`: acknowledged. */
 export type WatchedEntry = LedgerEntry<LedgerEvent | 'listed' | 'noted'>
 
-/** Everything that the targets of a test have done, for its checks. */
+/** The events of all targets of a test, for its checks. */
 export interface RunLedger {
   /** Starts and ends in the order in which they happened. */
   entries: LedgerEntry[]
-  /** Told of each entry and of each acknowledged end when it happens. */
+  /** Called synchronously for each entry, and for each report and acknowledgement of an end. */
   watch?(entry: WatchedEntry): void
 }
 
-/** What goes wrong. Each field can be changed at any time. */
+/** Injected faults. Each field can be changed at any time. */
 export interface TargetFaults {
-  /** Answers nothing, and does nothing that is asked. */
+  /** Orders are neither carried out nor answered. */
   silent: boolean
-  /** Carries orders out and answers nothing. */
+  /** Orders are carried out but not answered. */
   mute: boolean
-  /** Time by which the answer to each order is late, in ms. */
+  /** Delay of the answer to each order, in ms. */
   delayMs: number
-  /** Orders are carried out after this time and never answered, in ms; 0 for none. */
+  /** Delay after which orders are carried out without an answer, in ms; 0 switches this off. */
   lateMs: number
-  /** Whether the next order is one of these; by default each is. */
+  /** Whether `lateMs` applies to the next order; by default it applies to each. */
   isLate(): boolean
-  /** Every task fails at once. */
+  /** Tasks that are started end as failed after their run time. */
   failsAll: boolean
-  /** Tasks do not get on. */
+  /** Tasks that are started never end by themselves. */
   hangs: boolean
-  /** How far its tasks say that they are, in percent; undefined for what is true. */
+  /** Progress reported for all tasks, in percent; undefined reports the actual progress. */
   percent: number | undefined
-  /** Tasks that are started take so many times as long. */
+  /** Factor by which the run time of tasks that are started is multiplied. */
   slowness: number
 }
 
-/** Word of a target on a start order. */
+/** Answer of a target to a start order. */
 export type StartVerdict = 'accepted' | 'fence' | 'old' | 'late' | 'room'
 
-/** A run that is present. */
+/** A run that has not ended. */
 interface ActiveRun {
   task: string
   run: number
   spec: SimTaskSpec
   timer: NodeJS.Timeout | undefined
-  saved: string
-  /** Share of its speed that was ordered, in percent. */
+  /** Checkpoint given with the start order. */
+  checkpoint: string
+  /** Ordered pace, in percent of full speed. */
   pace: number
   startedAt: number
-  /** Time that it takes, in ms; Infinity for one that never ends. */
+  /** Run time in ms; Infinity for a run that hangs. */
   takesMs: number
 }
 
-/** How far a run has got, in percent; tasks that last are at work at once. */
-function percentOf({ spec, startedAt, takesMs }: ActiveRun): number {
+/** Progress of a run in percent. For tasks that run until stopped it is always 100. */
+function progressPercent({ spec, startedAt, takesMs }: ActiveRun): number {
   if (spec.ms === 0) return 100
   return Math.min(100, Math.floor((100 * (monotonicMs() - startedAt)) / takesMs))
 }
 
-/** One life of a target. */
+/** One incarnation of a target. */
 export interface SimTarget {
   readonly id: string
-  /** Start of this life, in ms since 1970. */
+  /** Start of this incarnation, in ms since 1970. */
   readonly lifeStartMs: number
-  /** Start of this life on the monotonic clock, in ms. */
+  /** Start of this incarnation in monotonic time, in ms. */
   readonly startedAt: number
   faults: TargetFaults
+  /** Clock of the target, against which leases are checked, in ms. */
   clockMs(): number
   start(order: {
     task: string
@@ -104,35 +108,39 @@
     spec: string
     untilMs: number
     token: number
-    saved: string
+    checkpoint: string
   }): StartVerdict
-  /** False when the token is fenced. */
+  /** Stops a run after `stopMs`. False if the token is fenced. */
   stop(task: string, run: number, token: number): boolean
+  /** Sets the pace of a run. False if the token is fenced. */
   pace(task: string, run: number, percent: number, token: number): boolean
-  /** Undefined when the token is fenced. */
-  hold(order: {
+  /**
+   * Extends the lease to `untilMs` if given, acknowledges ends up to `lastSeen` and reports the
+   * active runs and the ends left. Undefined if the token is fenced.
+   */
+  sync(order: {
     token: number
     lastSeen: number
     untilMs: number | undefined
   }): { runs: ReportedRun[]; ends: ReportedEnd[] } | undefined
-  /** Waits for an end that is not acknowledged, at most so long. */
+  /** Resolves once an unacknowledged end exists, after a crash, or after `ms`. */
   waitForEnd(ms: number): Promise<void>
-  /** Ends this life: everything on it dies without a word. */
+  /** Ends this incarnation and kills its runs without reporting their ends. */
   crash(): void
 }
 
-/** Starts a life without runs. */
+/** Starts an incarnation without runs. */
 export function createSimTarget(opts: {
   id: string
   capacity: Resources
   ledger: RunLedger
-  /** Start of this life, in ms since 1970; the current time by default. */
+  /** Start of this incarnation, in ms since 1970; the current time by default. */
   lifeStartMs?: number
-  /** Clock of the target at the start of this life, in ms; 1000 by default. */
+  /** Clock of the target at the start of this incarnation, in ms; 1000 by default. */
   initialClockMs?: number
   /** Whether starts that exceed the capacity are refused; true by default. */
   enforcesCapacity?: boolean
-  /** Ms that a stop takes. */
+  /** Time from a stop order to the end of the run, in ms; 5 by default. */
   stopMs?: number
   /** Called when the target crashes. */
   crashed?: () => void
@@ -145,10 +153,10 @@
   let ends: ReportedEnd[] = []
   let seq = 0
   let highestToken = 0
-  let leaseUntil = 0
+  let leaseUntilMs = 0
   let leaseTimer: NodeJS.Timeout | undefined
   let usedCpu = 0
-  let dead = false
+  let hasCrashed = false
   const waiters: (() => void)[] = []
   const faults: TargetFaults = {
     silent: false,
@@ -164,43 +172,49 @@
 
   const clockMs = (): number => Math.floor(monotonicMs() - startedAt) + initialClockMs
 
-  const note = (what: LedgerEvent, task: string, run: number): void => {
+  const record = (what: LedgerEvent, task: string, run: number): void => {
     const entry = { at: monotonicMs(), what, task, run, target: id }
     ledger.entries.push(entry)
     ledger.watch?.(entry)
   }
 
-  const watchEnds = (what: 'listed' | 'noted', some: ReportedEnd[]): void => {
-    for (const { task, run } of some) {
+  const notifyWatcher = (what: 'listed' | 'noted', reported: ReportedEnd[]): void => {
+    for (const { task, run } of reported) {
       ledger.watch?.({ at: monotonicMs(), what, task, run, target: id })
     }
   }
 
-  const forgetEnds = (lastSeen: number): void => {
-    watchEnds(
+  const acknowledgeEnds = (lastSeen: number): void => {
+    notifyWatcher(
       'noted',
       ends.filter(({ seq }) => seq <= lastSeen),
     )
     ends = ends.filter(({ seq }) => seq > lastSeen)
-    watchEnds('listed', ends)
+    notifyWatcher('listed', ends)
   }
 
   function end(active: ActiveRun, kind: RunEndKind): void {
-    if (dead || runs.get(active.task) !== active) return
+    if (hasCrashed || runs.get(active.task) !== active) return
     clearTimeout(active.timer)
     runs.delete(active.task)
     usedCpu -= active.spec.cpu ?? 0
     lastRun.set(active.task, active.run)
     seq++
-    ends.push({ seq, task: active.task, run: active.run, kind, checkpoint: active.saved })
-    note(kind, active.task, active.run)
+    ends.push({
+      seq,
+      task: active.task,
+      run: active.run,
+      kind,
+      checkpoint: active.checkpoint,
+    })
+    record(kind, active.task, active.run)
     for (const wake of waiters.splice(0)) wake()
   }
 
-  const extend = (untilMs: number): void => {
-    leaseUntil = Math.max(leaseUntil, untilMs)
+  const extendLease = (untilMs: number): void => {
+    leaseUntilMs = Math.max(leaseUntilMs, untilMs)
     clearTimeout(leaseTimer)
-    const left = leaseUntil - clockMs()
+    const left = leaseUntilMs - clockMs()
     leaseTimer = setTimeout(() => {
       for (const active of [...runs.values()]) end(active, 'lapsed')
     }, left)
@@ -214,17 +228,17 @@
   }
 
   function crash(): void {
-    if (dead) return
-    dead = true
+    if (hasCrashed) return
+    hasCrashed = true
     clearTimeout(leaseTimer)
     for (const active of runs.values()) {
       clearTimeout(active.timer)
-      note('killed', active.task, active.run)
+      record('killed', active.task, active.run)
     }
     runs.clear()
     faults.silent = true
     opts.crashed?.()
-    // Ends open polls, as a reset connection does.
+    // Ends pending long polls, like a connection reset.
     for (const wake of waiters.splice(0)) wake()
   }
 
@@ -234,11 +248,11 @@
     startedAt,
     faults,
     clockMs,
-    start({ task, run, spec, untilMs, token, saved }) {
+    start({ task, run, spec, untilMs, token, checkpoint }) {
       if (isFenced(token)) return 'fence'
       const parsed = JSON.parse(spec === '' ? '{}' : spec) as SimTaskSpec
       const present = runs.get(task)
-      extend(untilMs)
+      extendLease(untilMs)
       if (present?.run === run) return 'accepted'
       if (present || run <= (lastRun.get(task) ?? 0)) return 'old'
       if (untilMs <= clockMs()) return 'late'
@@ -249,14 +263,14 @@
         run,
         spec: parsed,
         timer: undefined,
-        saved,
+        checkpoint,
         pace: 100,
         startedAt: monotonicMs(),
         takesMs: faults.hangs ? Infinity : (parsed.ms ?? 10) * faults.slowness,
       }
       runs.set(task, active)
       usedCpu += parsed.cpu ?? 0
-      note('start', task, run)
+      record('start', task, run)
       if (parsed.crashMs !== undefined) setTimeout(crash, parsed.crashMs).unref()
       const kind = parsed.fail || faults.failsAll ? 'failed' : 'done'
       if (parsed.ms !== 0 && !faults.hangs) {
@@ -277,21 +291,21 @@
       if (active?.run === run) active.pace = percent
       return true
     },
-    hold({ token, lastSeen, untilMs }) {
+    sync({ token, lastSeen, untilMs }) {
       if (isFenced(token)) return undefined
-      if (untilMs !== undefined) extend(untilMs)
-      forgetEnds(lastSeen)
+      if (untilMs !== undefined) extendLease(untilMs)
+      acknowledgeEnds(lastSeen)
       const present = [...runs.values()].map((active) => ({
         task: active.task,
         run: active.run,
-        checkpoint: active.saved,
-        percent: faults.percent ?? percentOf(active),
+        checkpoint: active.checkpoint,
+        percent: faults.percent ?? progressPercent(active),
         load: 0,
       }))
       return { runs: present, ends: [...ends] }
     },
     async waitForEnd(ms) {
-      if (dead || ends.length > 0) return
+      if (hasCrashed || ends.length > 0) return
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, ms)
         waiters.push(() => {
--- a/playground/sim/storeHandlers.ts
+++ b/playground/sim/storeHandlers.ts
@@ -1,21 +1,21 @@
-/** The store of the stand-in platform in the platform's wire format. */
+/** HTTP handlers of the stand-in platform for the store. */
 import type { RowKey, RowStore } from '../../src/ports/index.js'
 import { sleep } from '../../src/shared/index.js'
 import type { Body, Handler, Reply } from './wire.js'
 
-/** Time after which an unanswered call is cut, in ms: longer than any client waits. */
-const UNANSWERED_MS = 5000
+/** Time after which a call without an outcome is answered 500, in ms; clients time out earlier. */
+const UNANSWERED_CUT_MS = 5000
 
-/** A surrogate without its other half, which no text has. */
+/** A lone surrogate, which valid text does not contain. */
 const LONE_SURROGATE = /[\uD800-\uDFFF]/u
-/** A byte that no UTF-8 text has. */
-const NO_TEXT = Buffer.from([0xff])
+/** A byte that valid UTF-8 does not contain. */
+const INVALID_UTF8_BYTE = Buffer.from([0xff])
 
-/** Each lone surrogate stands for a byte that is no text, in rows of another writer. */
+/** Encodes a value as base64. Each lone surrogate becomes a byte that is invalid in UTF-8. */
 function encode(text: string): string {
   if (!LONE_SURROGATE.test(text)) return Buffer.from(text, 'utf8').toString('base64')
   const [first, ...more] = text.split(LONE_SURROGATE).map((each) => Buffer.from(each))
-  const bytes = [first!, ...more.flatMap((each) => [NO_TEXT, each])]
+  const bytes = [first!, ...more.flatMap((each) => [INVALID_UTF8_BYTE, each])]
   return Buffer.concat(bytes).toString('base64')
 }
 
@@ -25,7 +25,7 @@
   part: String(row.part ?? ''),
   key: String(row.private_key),
 })
-const fromRow = (row: RowKey & { value?: string | undefined; version: number }) => ({
+const toWireRow = (row: RowKey & { value?: string | undefined; version: number }) => ({
   table: row.table,
   part: row.part,
   private_key: row.key,
@@ -33,12 +33,12 @@
   ...(row.value === undefined ? { gone: true } : { value: encode(row.value) }),
 })
 
-/** Answers for the store; a refused call gets 503 and an unanswered one nothing in time. */
+/** Handlers of the store. A refused call is answered 503, one of unknown outcome 500 after 5 s. */
 export function storeHandlers(store: RowStore): Record<string, Handler> {
-  const failed = async (failure: string): Promise<Reply> => {
+  const replyToFailure = async (failure: string): Promise<Reply> => {
     if (failure === 'compacted') return [410]
     if (failure === 'refused') return [503]
-    await sleep(UNANSWERED_MS)
+    await sleep(UNANSWERED_CUT_MS)
     return [500]
   }
   return {
@@ -55,8 +55,8 @@
         })),
         removals: ((body.remove ?? []) as Body[]).map(toKey),
       })
-      if (res.isErr()) return failed(res.error.failure)
-      if (!res.value.committed) return [412, { rows: res.value.current.map(fromRow) }]
+      if (res.isErr()) return replyToFailure(res.error.failure)
+      if (!res.value.committed) return [412, { rows: res.value.current.map(toWireRow) }]
       return [200, { ver: res.value.version, now_ms: Math.floor(performance.now()) }]
     },
     async 'GET /rows-get'({ query }) {
@@ -68,14 +68,14 @@
         query.get('part') ?? '',
         range,
       )
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       const limit = Number(query.get('limit') ?? 500)
-      const rows = res.value.rows.slice(0, limit).map(fromRow)
+      const rows = res.value.rows.slice(0, limit).map(toWireRow)
       return [200, { rows, more: res.value.rows.length > limit, ver: res.value.version }]
     },
     async 'GET /rows-parts'({ query }) {
       const res = await store.parts(query.get('table') ?? '')
-      if (res.isErr()) return failed(res.error.failure)
+      if (res.isErr()) return replyToFailure(res.error.failure)
       const after = query.get('after_revision') ?? ''
       return [200, { parts: res.value.filter((part) => part > after), more: false }]
     },
@@ -83,8 +83,8 @@
       const after = Number(query.get('after_revision'))
       const wait = Number(query.get('wait_ms') ?? 0)
       const res = await store.changes(query.get('table') ?? '', after, wait)
-      if (res.isErr()) return failed(res.error.failure)
-      return [200, { rows: res.value.changes.map(fromRow), ver: res.value.version }]
+      if (res.isErr()) return replyToFailure(res.error.failure)
+      return [200, { rows: res.value.changes.map(toWireRow), ver: res.value.version }]
     },
   }
 }
--- a/playground/soak/clients.ts
+++ b/playground/soak/clients.ts
@@ -1,38 +1,41 @@
-/** Clients of a run: they hand jobs in, ask for states, cancel, and check each answer. */
+/** Clients of a run: they submit jobs, query states, cancel jobs and check each answer. */
 import { errors } from 'undici'
 import type { Dispatcher } from 'undici'
 import { sleep } from '../../src/shared/index.js'
-import type { Calm } from './calm.js'
-import { countEnds } from './jobBook.js'
-import type { JobView } from './jobBook.js'
+import type { DisturbanceTracker } from './disturbances.js'
+import { countEnds } from './jobView.js'
+import type { JobView } from './jobView.js'
 import { DEADLINE_MS } from './nodes.js'
 import type { SoakNode } from './nodes.js'
 import type { Report, RunChecks } from './runChecks.js'
 
-/** Host by which clients name all queues. */
+/** Host header of requests to all queues. */
 export const QUEUE_HOST = 'q.example'
-/** Attempts to hand a job in, and the longest pause between two, in ms. */
-const MAX_SENDS = 10
+/** Most attempts to submit a job, and the longest pause between two of them, in ms. */
+const MAX_SUBMIT_ATTEMPTS = 10
 const MAX_PAUSE_MS = 1000
-/** Pause after an attempt that nothing is known of, in ms. */
-const UNSURE_PAUSE_MS = 200
-/** A job is known to all nodes so long after it was accepted, in ms. */
-const VISIBLE_MS = 3000
-/** A connection that ends so soon after a request was sent may have been ending before. */
-const CROSSED_MS = 200
+/** Pause after an attempt without an answer, in ms. */
+const RETRY_PAUSE_MS = 200
+/** Time after its acceptance within which a job is known to all nodes, in ms. */
+const VISIBILITY_MS = 3000
+/**
+ * A connection that ends within this time of a request may have been closed before the request
+ * arrived, in ms.
+ */
+const KEEP_ALIVE_RACE_MS = 200
 
-/** What a client heard: a status, or that nothing was sent, or that no answer came. */
-interface Heard {
+/** Result of a call: an HTTP status, or that nothing was sent, or that no answer came. */
+interface CallResult {
   status: number | 'not sent' | 'no answer'
   state?: string | undefined
   retryAfterMs?: number
 }
-/** The job was not taken: it never runs. */
-const REJECTIONS: Heard['status'][] = ['not sent', 429, 503]
-/** The job may have been taken: the same id is sent again. */
-const UNSURE: Heard['status'][] = ['no answer', 502, 504]
+/** Results after which the job was certainly not accepted and must never run. */
+const REJECTIONS: CallResult['status'][] = ['not sent', 429, 503]
+/** Results after which the job may have been accepted; it is sent again under the same id. */
+const UNKNOWN_OUTCOMES: CallResult['status'][] = ['no answer', 502, 504]
 
-/** What must hold when callers are shown a state. */
+/** Conditions that must hold when a state is returned to callers. */
 const STATE_CHECKS: Record<string, (job: JobView) => boolean> = {
   queued: () => true,
   running: () => true,
@@ -42,37 +45,42 @@
     !isLasting && tasks.some((task) => countEnds(task, 'failed') >= queue.maxAttempts),
   cancelled: ({ cancelSentAt }) => cancelSentAt !== undefined,
 }
-const FINAL = ['completed', 'failed', 'cancelled']
+const FINAL_STATES = ['completed', 'failed', 'cancelled']
 
-/** What clients do with a job. */
+/** Requests of clients for a job. */
 export interface Clients {
-  /** Sends a job until it is taken or surely is not. */
+  /** Submits a job until it is accepted; gives up after {@link MAX_SUBMIT_ATTEMPTS}. */
   submit(job: JobView): Promise<void>
-  ask(job: JobView): Promise<void>
+  queryState(job: JobView): Promise<void>
   cancel(job: JobView): Promise<void>
 }
 
-/** Creates clients that use all nodes in turn. */
+/** Creates clients that send requests to all nodes round robin. */
 export function createClients(opts: {
   nodes: SoakNode[]
   checks: RunChecks
-  calm: Calm
-  /** As `calm`, but for planned stops. */
-  unplanned: Calm
+  disturbances: DisturbanceTracker
+  /** Like `disturbances`, but without planned stops. */
+  unplannedDisturbances: DisturbanceTracker
   report: Report
-  note(what: string, more: object): void
+  writeTrace(what: string, more: object): void
 }): Clients {
-  const { nodes, calm, unplanned, report, note } = opts
-  let turn = 0
+  const { nodes, disturbances, unplannedDisturbances, report, writeTrace } = opts
+  let nextNode = 0
 
-  /** A request that ended without an answer, against what nodes promise. */
-  function checkSilence(node: SoakNode, what: string, tookMs: number, err: Error): void {
+  /** Checks a request that ended without an answer against the guarantees of nodes. */
+  function checkMissingReply(
+    node: SoakNode,
+    what: string,
+    tookMs: number,
+    err: Error,
+  ): void {
     const isLate = err instanceof errors.HeadersTimeoutError
-    if (isLate && calm.isCalm() && calm.calmMs() > tookMs) {
+    if (isLate && disturbances.isUndisturbed() && disturbances.undisturbedMs() > tookMs) {
       report('no answer', `${what} at ${node.name} within ${DEADLINE_MS} ms`)
     }
-    const wasCut = !isLate && tookMs > CROSSED_MS && node.isStopping()
-    if (wasCut && unplanned.isCalm()) {
+    const wasCut = !isLate && tookMs > KEEP_ALIVE_RACE_MS && node.isStopping()
+    if (wasCut && unplannedDisturbances.isUndisturbed()) {
       report(
         'cut by a planned stop',
         `${what} at ${node.name} after ${tookMs} ms: ${err}`,
@@ -84,8 +92,8 @@
     method: Dispatcher.HttpMethod,
     { id, queue }: JobView,
     body: string | null = null,
-  ): Promise<Heard> {
-    const node = nodes[turn++ % nodes.length]!
+  ): Promise<CallResult> {
+    const node = nodes[nextNode++ % nodes.length]!
     const what = `${method} ${id}`
     const since = performance.now()
     const headers = { host: QUEUE_HOST, 'content-type': 'application/json' }
@@ -95,15 +103,20 @@
       const text = await res.body.text()
       const { state } = (text === '' ? {} : JSON.parse(text)) as { state?: string }
       const status = res.statusCode
-      note('answer', { call: what, node: node.name, status, state })
+      writeTrace('answer', { call: what, node: node.name, status, state })
       const retryAfterMs = Number(res.headers['retry-after'] ?? 0) * 1000
       return { status, state, retryAfterMs }
     } catch (cause) {
       const err = cause as Error & { code?: string }
       const tookMs = Math.round(performance.now() - since)
-      note('no answer', { call: what, node: node.name, tookMs, reason: err.message })
+      writeTrace('no answer', {
+        call: what,
+        node: node.name,
+        tookMs,
+        reason: err.message,
+      })
       if (err.code === 'ECONNREFUSED') return { status: 'not sent' }
-      checkSilence(node, what, tookMs, err)
+      checkMissingReply(node, what, tookMs, err)
       return { status: 'no answer' }
     }
   }
@@ -120,39 +133,43 @@
     return JSON.stringify({ spec, steps: wireSteps })
   }
 
-  /** Checks a state against that which callers had been shown when they asked for it. */
-  function checkState(job: JobView, state: string, shown: string | undefined): void {
+  /** Checks a state against the final one, if any, that was returned before the request. */
+  function checkState(
+    job: JobView,
+    state: string,
+    previousState: string | undefined,
+  ): void {
     const isRight = STATE_CHECKS[state]?.(job) ?? false
-    if (!isRight || (shown !== undefined && shown !== state)) {
-      report('wrong state', `${job.id} is shown ${state}, before ${shown}`)
+    if (!isRight || (previousState !== undefined && previousState !== state)) {
+      report('wrong state', `${job.id} is shown ${state}, before ${previousState}`)
     }
-    if (FINAL.includes(state)) job.outcome = state
+    if (FINAL_STATES.includes(state)) job.outcome = state
   }
 
   return {
     async submit(job) {
-      let isUnsure = job.mayBeTaken
-      for (let each = 0; each < MAX_SENDS; each++) {
+      let isOutcomeUnknown = job.mayBeTaken
+      for (let each = 0; each < MAX_SUBMIT_ATTEMPTS; each++) {
         job.mayBeTaken = true
         const { status, retryAfterMs } = await call('POST', job, bodyOf(job))
         if (status === 200) {
           job.acceptedAt ??= performance.now()
           return
         }
-        if (UNSURE.includes(status)) isUnsure = true
+        if (UNKNOWN_OUTCOMES.includes(status)) isOutcomeUnknown = true
         else if (!REJECTIONS.includes(status)) {
           return report('wrong answer', `POST ${job.id}: ${status}`)
         }
-        job.mayBeTaken = isUnsure
-        await sleep(Math.min(MAX_PAUSE_MS, retryAfterMs ?? UNSURE_PAUSE_MS))
+        job.mayBeTaken = isOutcomeUnknown
+        await sleep(Math.min(MAX_PAUSE_MS, retryAfterMs ?? RETRY_PAUSE_MS))
       }
     },
-    async ask(job) {
-      const shown = job.outcome
+    async queryState(job) {
+      const previousState = job.outcome
       const { status, state } = await call('GET', job)
-      if (status === 200) return checkState(job, String(state), shown)
+      if (status === 200) return checkState(job, String(state), previousState)
       const knownMs = performance.now() - (job.acceptedAt ?? Infinity)
-      if (status === 410 && knownMs > VISIBLE_MS && calm.isCalm()) {
+      if (status === 410 && knownMs > VISIBILITY_MS && disturbances.isUndisturbed()) {
         report('accepted job unknown', `${job.id} after ${Math.round(knownMs)} ms`)
       }
     },
--- a/playground/soak/faultLink.ts
+++ b/playground/soak/faultLink.ts
@@ -1,54 +1,54 @@
-/** A proxy on the loopback that delays, resets, cuts and silences connections. */
+/** TCP proxy on the loopback interface that delays, resets, blocks or silences connections. */
 import { connect, createServer } from 'node:net'
 import type { Socket } from 'node:net'
 import { HOST } from '../sim/wire.js'
 
-/** Time between two looks at bytes that are held back, in ms. */
+/** Interval at which held-back bytes are forwarded, in ms. */
 const STEP_MS = 5
 
-/** Way of bytes: towards the server or back to the client. */
-type Way = 'up' | 'down'
+/** Direction of bytes: up to the server or down to the client. */
+type Direction = 'up' | 'down'
 
-/** The proxy, while it runs. */
+/** A running proxy. */
 export interface FaultLink {
   address: string
   port: number
-  /** Bytes are so late, in ms. */
+  /** Delay of all bytes, in ms. */
   delayMs: number
-  /** Ways on which bytes are held for as long as they stand here. */
-  cut: Set<Way>
-  /** Breaks all open connections. */
+  /** Directions in which bytes are held back. */
+  cut: Set<Direction>
+  /** Resets all open connections. */
   reset(): void
-  /** Nothing passes open connections any more; new ones work. */
+  /** Drops all further bytes of open connections without closing them; new ones work. */
   silence(): void
-  /** When something was wrong for the last time; now, while something is. */
-  harmedAt(): number
+  /** Monotonic time of the last fault, in ms; the current time during a delay or cut. */
+  lastFaultAt(): number
   close(): void
 }
 
-/** One direction of a connection: order is kept, bytes wait while they must. */
+/** One direction of a connection. Bytes are delayed or held back, and stay in order. */
 interface Pipe {
-  /** Takes bytes, or the end of the connection. */
+  /** Queues bytes; without any, queues the end of the connection. */
   push(data?: Buffer): void
   flush(): void
   isSilent: boolean
 }
 
-function createPipe(to: Socket, way: Way, link: FaultLink): Pipe {
-  const pieces: { dueAt: number; data: Buffer | undefined }[] = []
+function createPipe(to: Socket, direction: Direction, link: FaultLink): Pipe {
+  const queue: { dueAt: number; data: Buffer | undefined }[] = []
   const isDue = (): boolean =>
-    pieces.length > 0 && !link.cut.has(way) && pieces[0]!.dueAt <= performance.now()
+    queue.length > 0 && !link.cut.has(direction) && queue[0]!.dueAt <= performance.now()
 
   const pipe: Pipe = {
     isSilent: false,
     push(data) {
       if (pipe.isSilent) return
-      pieces.push({ dueAt: performance.now() + link.delayMs, data })
+      queue.push({ dueAt: performance.now() + link.delayMs, data })
       pipe.flush()
     },
     flush() {
       while (isDue()) {
-        const { data } = pieces.shift()!
+        const { data } = queue.shift()!
         if (data && !to.destroyed) to.write(data)
         else to.end()
       }
@@ -57,19 +57,19 @@
   return pipe
 }
 
-/** Opens the proxy before a port of this machine. */
+/** Opens a proxy in front of a port on the loopback interface. */
 export async function openFaultLink(toPort: number): Promise<FaultLink> {
   const pipes = new Set<Pipe>()
   const sockets = new Set<Socket>()
-  let harmedAt = -Infinity
-  const noteHarm = (): void => void (harmedAt = performance.now())
+  let lastFaultAt = -Infinity
+  const recordFault = (): void => void (lastFaultAt = performance.now())
 
-  const join = (from: Socket, to: Socket, way: Way): void => {
-    const pipe = createPipe(to, way, link)
+  const connectPipe = (from: Socket, to: Socket, direction: Direction): void => {
+    const pipe = createPipe(to, direction, link)
     pipes.add(pipe)
     sockets.add(from)
     from.on('data', (data: Buffer) => pipe.push(data))
-    // The close that follows is all that matters.
+    // An error is always followed by `close`, which is handled below.
     from.on('error', () => undefined)
     from.on('close', () => {
       sockets.delete(from)
@@ -77,13 +77,13 @@
     })
     to.on('close', () => pipes.delete(pipe))
   }
-  const server = createServer((near) => {
-    const far = connect(toPort, HOST)
-    join(near, far, 'up')
-    join(far, near, 'down')
+  const server = createServer((client) => {
+    const upstream = connect(toPort, HOST)
+    connectPipe(client, upstream, 'up')
+    connectPipe(upstream, client, 'down')
   })
   const timer = setInterval(() => {
-    if (link.delayMs > 0 || link.cut.size > 0) noteHarm()
+    if (link.delayMs > 0 || link.cut.size > 0) recordFault()
     pipes.forEach((pipe) => pipe.flush())
   }, STEP_MS)
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve))
@@ -95,14 +95,14 @@
     delayMs: 0,
     cut: new Set(),
     reset() {
-      noteHarm()
+      recordFault()
       for (const socket of sockets) socket.resetAndDestroy()
     },
     silence() {
-      noteHarm()
+      recordFault()
       for (const pipe of pipes) pipe.isSilent = true
     },
-    harmedAt: () => harmedAt,
+    lastFaultAt: () => lastFaultAt,
     close() {
       clearInterval(timer)
       server.close()
--- a/playground/soak/runChecks.ts
+++ b/playground/soak/runChecks.ts
@@ -1,38 +1,38 @@
-/** Checks each start and end, as targets see it, against what nodes promise. */
+/** Checks the starts and ends of runs on targets against the guarantees of nodes. */
 import type { WatchedEntry } from '../sim/simTarget.js'
-import type { Calm } from './calm.js'
-import { countEnds, isTurnOf, noteEntry } from './jobBook.js'
-import type { JobView, TaskView } from './jobBook.js'
+import type { DisturbanceTracker } from './disturbances.js'
+import { countEnds, areDependenciesDone, recordEntry } from './jobView.js'
+import type { JobView, TaskView } from './jobView.js'
 
-/** Latest start after the answer to a cancel, in ms; the second one also out of calm. */
-const CANCEL_MS = 3000
-const CANCEL_ROUGH_MS = 10_000
-/** Latest start on a target after its entry said that it drains, in ms. */
-const DRAIN_MS = 2000
+/** Longest time from the answer to a cancel to a start, in ms; the second holds at any time. */
+const MAX_START_AFTER_CANCEL_MS = 3000
+const MAX_START_AFTER_CANCEL_DISTURBED_MS = 10_000
+/** Longest time from the `draining` entry of a target to a start on it, in ms. */
+const MAX_START_AFTER_DRAIN_MS = 2000
 
-/** Says that a promise is broken. */
+/** Reports a violated guarantee. */
 export type Report = (promise: string, detail: string) => void
 
-/** The jobs of a run, and the checks of what targets do with them. */
+/** The jobs of a run and the checks of their runs. */
 export interface RunChecks {
   jobs: Map<string, JobView>
-  /** Targets that drain, with the time of the word in the list. */
+  /** Ids of draining targets with the monotonic time at which the list said so, in ms. */
   draining: Map<string, number>
-  /** Processor room taken on each target, in thousandths of a core. */
+  /** CPU in use by target id, in thousandths of a core. */
   usedCpu: Map<string, number>
   onTargetEntry(entry: WatchedEntry): void
 }
 
-/** What must not hold when a task starts, or when the word of an end arrives. */
+/** Returns true if the start of a task, or the acknowledgement of an end, violates a guarantee. */
 type Rule = (job: JobView, task: TaskView, at: number, target: string) => boolean
 
 /**
  * Creates the checks without any job.
- * @param isReachable whether orders reach a target without delay: one that was held on its way
- *   is carried out late, and no bound in time holds for it
+ * @param isReachable whether orders reach a target without delay. An order that was held back is
+ *   carried out late, so no time bound applies to it.
  */
 export function createRunChecks(
-  calm: Calm,
+  disturbances: DisturbanceTracker,
   isReachable: (target: string) => boolean,
   report: Report,
 ): RunChecks {
@@ -40,23 +40,28 @@
   const draining = new Map<string, number>()
   const usedCpu = new Map<string, number>()
 
-  const isPrompt = (target: string): boolean => calm.isCalm() && isReachable(target)
+  const appliesTimeBound = (target: string): boolean =>
+    disturbances.isUndisturbed() && isReachable(target)
 
   const START_RULES: Record<string, Rule> = {
     'two runs at once': (_job, { active }) => active !== undefined,
     'ran after its end': ({ isLasting }, task) =>
       !isLasting && countEnds(task, 'done', true) > 0,
-    'ran before its turn': (job, task) => !isTurnOf(job, task),
+    'ran before its turn': (job, task) => !areDependenciesDone(job, task),
     'ran too often': ({ isLasting, queue }, task) =>
       !isLasting && countEnds(task, 'failed', true) >= queue.maxAttempts,
     'rejected job runs': ({ mayBeTaken }) => !mayBeTaken,
     'started on a draining target': (_job, _task, at, target) =>
-      isPrompt(target) && at - (draining.get(target) ?? Infinity) > DRAIN_MS,
+      appliesTimeBound(target) &&
+      at - (draining.get(target) ?? Infinity) > MAX_START_AFTER_DRAIN_MS,
     'ran after its cancel': ({ cancelAckedAt = Infinity }, _task, at, target) =>
-      at - cancelAckedAt > (isPrompt(target) ? CANCEL_MS : CANCEL_ROUGH_MS),
+      at - cancelAckedAt >
+      (appliesTimeBound(target)
+        ? MAX_START_AFTER_CANCEL_MS
+        : MAX_START_AFTER_CANCEL_DISTURBED_MS),
   }
-  /** The word of an end stands for all time: no run may have begun since. */
-  const NOTED_RULES: Record<string, Rule> = {
+  /** An acknowledged end is final: no run may have started after it. */
+  const ACKNOWLEDGED_END_RULES: Record<string, Rule> = {
     'ran after its end': ({ isLasting }, { ends, startedAt }) =>
       !isLasting &&
       ends.some((end) => end.what === 'done' && end.isNoted && end.at < startedAt),
@@ -84,9 +89,9 @@
       const task = job?.tasks.find(({ name }) => name === entry.task)
       if (!job || !task) return report('ran unasked', `${entry.task} on ${target}`)
       if (what === 'start') check(START_RULES, job, task, entry)
-      noteEntry(task, entry)
+      recordEntry(task, entry)
       if (what === 'listed') return
-      if (what === 'noted') return check(NOTED_RULES, job, task, entry)
+      if (what === 'noted') return check(ACKNOWLEDGED_END_RULES, job, task, entry)
       const sign = what === 'start' ? 1 : -1
       const used = usedCpu.get(target) ?? 0
       usedCpu.set(target, used + sign * job.steps[task.step]!.cpu)
--- a/playground/soak/waves.ts
+++ b/playground/soak/waves.ts
@@ -1,32 +1,32 @@
-/** Waves of maintenance that the operators of a run order. */
+/** Waves of maintenance of a run. */
 import { sleep } from '../../src/shared/index.js'
 import type { SimPlatform } from '../sim/wireServer.js'
 import type { Fault } from './plan.js'
 import type { Report } from './runChecks.js'
 
-/** Time that a wave is given, in s, and VMs that it names at most. */
+/** Time allowed for a wave, in s, and the most VMs in a wave. */
 const DURATION_S = 30
 const VMS_PER_WAVE = 3
-/** Time between two looks at the status of a wave, in ms. */
-const LOOK_MS = 200
+/** Interval at which the status of a wave is read, in ms. */
+const STATUS_INTERVAL_MS = 200
 
-/** The waves of a run. */
+/** Orders and checks waves. */
 export interface Waves {
   orderWave(fault: Fault): void
-  /** Checks that no more VMs are away for a wave than it allows; to be called all the time. */
-  look(): void
-  /** Waits until all waves are said to be completed. */
+  /** Checks that no wave has more VMs in maintenance than it allows; to be called periodically. */
+  check(): void
+  /** Waits until the status of all waves is completed; reports those that are not in time. */
   settle(ms: number): Promise<void>
 }
 
-/** Creates the record without any wave. */
+/** Creates the checks without any wave. */
 export function createWaves(platform: SimPlatform, report: Report): Waves {
   const { vms, maintained } = platform
   const ordered = new Map<number, { names: string[]; maximum: number }>()
 
   const isCompleted = (id: number): boolean => platform.waveStatus(id) === 'completed'
 
-  const isAway = (name: string, id: number): boolean => {
+  const isInMaintenance = (name: string, id: number): boolean => {
     const vm = vms.find((each) => each.name === name)
     return (
       vm?.state === 'upkeep' &&
@@ -45,22 +45,24 @@
       ordered.set(id, wave)
       platform.putWave(id, wave.names, DURATION_S, wave.maximum)
     },
-    look() {
+    check() {
       for (const [id, { names, maximum }] of ordered) {
-        const away = names.filter((name) => isAway(name, id))
-        if (away.length > maximum) report('wave too wide', `${id}: ${away}`)
+        const inMaintenance = names.filter((name) => isInMaintenance(name, id))
+        if (inMaintenance.length > maximum)
+          report('wave too wide', `${id}: ${inMaintenance}`)
       }
     },
     async settle(ms) {
       const endsAt = performance.now() + ms
       for (const [id, { names }] of ordered) {
-        while (!isCompleted(id) && performance.now() < endsAt) await sleep(LOOK_MS)
-        const missed = names.filter(
+        while (!isCompleted(id) && performance.now() < endsAt)
+          await sleep(STATUS_INTERVAL_MS)
+        const unmaintained = names.filter(
           (name) => !maintained.some((each) => each.vm === name && each.wave === id),
         )
-        if (!isCompleted(id)) report('wave not carried out', `${id}: ${missed}`)
-        else if (missed.length > 0)
-          report('wave said to be completed', `${id}: ${missed}`)
+        if (!isCompleted(id)) report('wave not carried out', `${id}: ${unmaintained}`)
+        else if (unmaintained.length > 0)
+          report('wave said to be completed', `${id}: ${unmaintained}`)
       }
     },
   }
