--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -2,7 +2,7 @@
  * Time of one planning run at peak load, when almost no waiting task finds room: with the
  * planner skipping needs that found no room, and with every target tried for each step.
  */
-import { OPEN_POLICY } from '../src/scheduler/placementRules.js'
+import { UNRESTRICTED_POLICY } from '../src/scheduler/placementRules.js'
 import { planStarts } from '../src/scheduler/planner.js'
 import { createRunTimes } from '../src/scheduler/runTimes.js'
 import type { TargetAgent } from '../src/scheduler/types.js'
@@ -49,11 +49,11 @@
       ready: book.ready,
       agents,
       urgencyOf: (job) => urgencyOf(job, QUEUE, runTimes, 0),
-      policy: OPEN_POLICY,
+      policy: UNRESTRICTED_POLICY,
       penaltyOf: () => 0,
       mayTry: () => false,
       planned: () => undefined,
-      isSpecial: () => triesEveryTarget,
+      hasStepPolicy: () => triesEveryTarget,
     })
   plan()
   const startedAt = performance.now()
--- a/src/scheduler/__tests__/ask.spec.ts
+++ b/src/scheduler/__tests__/ask.spec.ts
@@ -3,7 +3,7 @@
 import type { OrderFailure } from '../../ports/index.js'
 import { PlatformError, createRoundTrip, sleep } from '../../shared/index.js'
 import { callWithRetries } from '../ask.js'
-import { ANSWER_TIMEOUT_MS, MIN_ANSWER_MS } from '../constants.js'
+import { ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS } from '../constants.js'
 
 const failedResult = (failure: OrderFailure) => {
   const props = { step: 'orders.start', peer: 't1', failure: 'unknown' as const }
@@ -12,7 +12,10 @@
 
 /** Creates a target that usually answers in 1 ms and gives these results to the next calls. */
 function createFakeTarget(results: unknown[]) {
-  const roundTrip = createRoundTrip({ leastMs: MIN_ANSWER_MS, mostMs: ANSWER_TIMEOUT_MS })
+  const roundTrip = createRoundTrip({
+    leastMs: MIN_ANSWER_TIMEOUT_MS,
+    mostMs: ANSWER_TIMEOUT_MS,
+  })
   roundTrip.note(1)
   const timeouts: number[] = []
   const send = async (timeoutMs: number) => {
@@ -34,7 +37,7 @@
     const { res, unansweredCalls } = await callWithRetries({ roundTrip, send })
     t.true(res.isOk())
     t.is(unansweredCalls, 2)
-    t.deepEqual(timeouts.slice(0, 2), [MIN_ANSWER_MS, MIN_ANSWER_MS * 2])
+    t.deepEqual(timeouts.slice(0, 2), [MIN_ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS * 2])
   })
 
   it('gives up no later than a single call would', async (t) => {
--- a/src/scheduler/__tests__/demand.spec.ts
+++ b/src/scheduler/__tests__/demand.spec.ts
@@ -49,7 +49,7 @@
   it('detects that the need has grown since the last report', (t) => {
     const { book, demand, add, reportAt } = startMeter()
     t.false(demand.hasGrown(book.open, 0))
-    demand.arrived(add(1, 0), 0)
+    demand.noteArrival(add(1, 0), 0)
     t.true(demand.hasGrown(book.open, 0))
     reportAt(0)
     t.false(demand.hasGrown(book.open, 0))
@@ -100,7 +100,7 @@
     const { book, demand, add, reportAt } = startMeter(false)
     for (let number = 0; number < 12; number++) add(number, 10_000 + number * 100)
     const before = reportAt(500).timelyCpu
-    demand.inherited([...book.jobs.values()], 500, 11_200)
+    demand.noteInherited([...book.jobs.values()], 500, 11_200)
     t.is(before, 0)
     // Ten jobs per second with four core-seconds each.
     const expected = reportAt(500).timelyCpu
--- a/src/scheduler/__tests__/finishedJobs.spec.ts
+++ b/src/scheduler/__tests__/finishedJobs.spec.ts
@@ -19,10 +19,10 @@
   intakeKey,
 } from '../../jobs/index.js'
 import { createMemoryLogger, sleep } from '../../shared/index.js'
-import { FINISHED_WAIT_MS } from '../constants.js'
+import { MAX_FINISHED_WAIT_MS } from '../constants.js'
 
 /** Time after which the rows of a finished job have been moved, in ms. */
-const MOVE_DELAY_MS = 2 * FINISHED_WAIT_MS + 1000
+const MOVE_DELAY_MS = 2 * MAX_FINISHED_WAIT_MS + 1000
 
 /** Creates the job service of a node, and records the row versions that it offers to owners. */
 function startFront(table: ReturnType<typeof createRowTable>) {
--- a/src/scheduler/__tests__/planner.spec.ts
+++ b/src/scheduler/__tests__/planner.spec.ts
@@ -3,7 +3,7 @@
 import { createStillBook } from '../../../test/fixtures.js'
 import { QUEUE, makeJob } from '../../../test/jobRig.js'
 import type { Job, JobSpec } from '../../jobs/index.js'
-import { OPEN_POLICY } from '../placementRules.js'
+import { UNRESTRICTED_POLICY } from '../placementRules.js'
 import { planStarts } from '../planner.js'
 import { createRoom, needOf } from '../room.js'
 import { createRunTimes } from '../runTimes.js'
@@ -46,9 +46,9 @@
     ready: readyOf(jobs),
     agents,
     urgencyOf: (job) => urgencyOf(job, QUEUE, createRunTimes(), 0),
-    policy: OPEN_POLICY,
+    policy: UNRESTRICTED_POLICY,
     penaltyOf: ({ target }) => (target.id === avoided ? 1 : 0),
-    isSpecial: () => false,
+    hasStepPolicy: () => false,
     mayTry: () => false,
     planned: () => undefined,
   })
@@ -63,9 +63,9 @@
       ready: readyOf(jobs),
       agents: [fakeAgent('t1', 1000)],
       urgencyOf: (job) => urgencyOf(job, QUEUE, createRunTimes(), 0),
-      policy: OPEN_POLICY,
+      policy: UNRESTRICTED_POLICY,
       penaltyOf: () => 0,
-      isSpecial: () => false,
+      hasStepPolicy: () => false,
       mayTry: () => false,
       startsLeft: 4,
       planned: () => undefined,
@@ -195,13 +195,13 @@
           ready,
           agents,
           urgencyOf: (job: Job) => urgencyOf(job, QUEUE, createRunTimes(), 0),
-          policy: OPEN_POLICY,
+          policy: UNRESTRICTED_POLICY,
           penaltyOf: () => 0,
           mayTry: () => false,
           planned: () => undefined,
         }
-        const cached = planStarts({ ...input, isSpecial: () => false })
-        const uncached = planStarts({ ...input, isSpecial: () => true })
+        const cached = planStarts({ ...input, hasStepPolicy: () => false })
+        const uncached = planStarts({ ...input, hasStepPolicy: () => true })
         t.deepEqual(
           cached.starts.map(({ task, agent }) => [task.name, agent.target.id]),
           uncached.starts.map(({ task, agent }) => [task.name, agent.target.id]),
--- a/src/scheduler/__tests__/startWindow.spec.ts
+++ b/src/scheduler/__tests__/startWindow.spec.ts
@@ -19,13 +19,13 @@
     run(ms: number): void {
       const endsAt = now + ms
       while (now < endsAt) {
-        while (window.left() > 0) {
-          window.opened()
+        while (window.available() > 0) {
+          window.noteOrdered()
           inFlight.push(now)
         }
         now += 1000 / startsPerSecond
         const orderedAt = inFlight.shift()
-        if (orderedAt !== undefined) window.closed(now - orderedAt)
+        if (orderedAt !== undefined) window.noteEnded(now - orderedAt)
       }
     },
     inFlight: () => inFlight.length,
@@ -76,10 +76,10 @@
   describe('with starts that were not sent', () => {
     it('counts them as ended and ignores them for the rate', (t) => {
       const { window } = createOwner(15)
-      const before = window.left()
-      window.opened()
-      window.closed()
-      t.is(window.left(), before)
+      const before = window.available()
+      window.noteOrdered()
+      window.noteEnded()
+      t.is(window.available(), before)
       t.is(window.perSecond(), 0)
     })
   })
--- a/src/scheduler/ask.ts
+++ b/src/scheduler/ask.ts
@@ -8,7 +8,7 @@
 import type { OrderError, OrderResult } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { RoundTrip } from '../shared/index.js'
-import { ANSWER_TIMEOUT_MS, MIN_ANSWER_MS } from './constants.js'
+import { ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS } from './constants.js'
 
 /** Largest number of calls before the target counts as silent. */
 const MAX_CALLS = 3
@@ -45,9 +45,10 @@
   const deadline = monotonicMs() + waitMs + ANSWER_TIMEOUT_MS
   for (let unansweredCalls = 0; ; unansweredCalls++) {
     const pollMs = unansweredCalls === 0 ? waitMs : 0
-    const leftMs = Math.max(MIN_ANSWER_MS, deadline - monotonicMs() - pollMs)
+    const leftMs = Math.max(MIN_ANSWER_TIMEOUT_MS, deadline - monotonicMs() - pollMs)
     const timeoutMs = roundTrip.timeoutMs()
-    const isLast = unansweredCalls + 1 === MAX_CALLS || timeoutMs + MIN_ANSWER_MS > leftMs
+    const isLast =
+      unansweredCalls + 1 === MAX_CALLS || timeoutMs + MIN_ANSWER_TIMEOUT_MS > leftMs
     const sentAt = monotonicMs()
     const res = await send(Math.round(isLast ? leftMs : timeoutMs), pollMs)
     const isUnanswered = res.isErr() && res.error.failure === 'unanswered'
--- a/src/scheduler/crashRecorder.ts
+++ b/src/scheduler/crashRecorder.ts
@@ -3,7 +3,7 @@
 import type { OrderError } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { ACK_WAIT_MS } from './constants.js'
+import { MAX_ACK_WAIT_MS } from './constants.js'
 import type { CrashedRun } from './crashSuspects.js'
 import type { ProgressWriter } from './progressWriter.js'
 import type { TargetRuns } from './targetRuns.js'
@@ -88,7 +88,7 @@
       opts.crashed()
       for (const { task, run, role } of crashed) book.noteCrash(task, run, role)
       giveUpOthers?.(tasks)
-      while (!signal.aborted && !(await progress.flushed(ACK_WAIT_MS)));
+      while (!signal.aborted && !(await progress.flushed(MAX_ACK_WAIT_MS)));
     },
   }
 }
--- a/src/scheduler/demand.ts
+++ b/src/scheduler/demand.ts
@@ -27,12 +27,12 @@
 /** Tracks the arrival rate of work and sums up the needs of open jobs. */
 export interface DemandMeter {
   /** Records the work of a new job. */
-  arrived(job: Job, now: number): void
+  noteArrival(job: Job, now: number): void
   /**
    * Records the work of jobs that the predecessor accepted, at the acceptance times in their rows.
    * @param wallMs the present wall clock time, in ms
    */
-  inherited(jobs: readonly Job[], now: number, wallMs: number): void
+  noteInherited(jobs: readonly Job[], now: number, wallMs: number): void
   /** Whether the need has grown enough since the last report to be reported at once. */
   hasGrown(open: OpenJobs, now: number): boolean
   report(
@@ -170,7 +170,7 @@
   }
 
   const meter: DemandMeter = {
-    arrived(job, now) {
+    noteArrival(job, now) {
       let work = 0
       for (const step of job.occurrences[0]?.steps ?? []) {
         if (step.spec.lasting) continue
@@ -179,11 +179,11 @@
       }
       if (work > 0) meterOf(job.spec.queue).note(work, now)
     },
-    inherited(jobs, now, wallMs) {
+    noteInherited(jobs, now, wallMs) {
       for (const job of jobs) {
         // Clocks of nodes differ slightly: a job accepted in the future counts as accepted now.
         const ageMs = Math.max(0, wallMs - job.spec.acceptedAtMs)
-        meter.arrived(job, now - ageMs)
+        meter.noteArrival(job, now - ageMs)
       }
     },
     hasGrown: (open, now) =>
--- a/src/scheduler/evacuation.ts
+++ b/src/scheduler/evacuation.ts
@@ -25,7 +25,7 @@
 }
 
 /** Stops the tasks that have to leave the target, as far as their steps allow it now. */
-export function moveTasksAway({ agent, agents, hurry, log }: EvacuationInput): void {
+export function evacuateTarget({ agent, agents, hurry, log }: EvacuationInput): void {
   for (const placement of agent.placements.values()) {
     const { task } = placement
     if (!task || placement.state !== 'running') continue
@@ -41,7 +41,7 @@
  * Empties the targets that the fleet's owner names and returns all others to normal use.
  * @param agents returns all targets of the service at this moment
  */
-export function followFleetAnswer(
+export function applyFleetAnswer(
   { evacuate, hurry, ended }: FleetAnswer,
   agents: () => TargetAgent[],
   log: Logger,
@@ -58,7 +58,8 @@
       agent.evacuating = wanted
       log.event('evacuating', { target: id, wanted, runs: agent.placements.size })
     }
-    if (wanted) moveTasksAway({ agent, agents: agents(), hurry: hurry.includes(id), log })
+    if (wanted)
+      evacuateTarget({ agent, agents: agents(), hurry: hurry.includes(id), log })
   }
 }
 
--- a/src/scheduler/finishedJobs.ts
+++ b/src/scheduler/finishedJobs.ts
@@ -24,10 +24,10 @@
 } from '../shared/index.js'
 import type { Logger, PlatformError } from '../shared/index.js'
 import {
-  FINISHED_PER_WRITE,
-  FINISHED_STEP_MS,
-  FINISHED_WAIT_MS,
-  KEEP_FINISHED_MS,
+  MIN_FINISHED_PER_WRITE,
+  FINISHED_CHECK_INTERVAL_MS,
+  MAX_FINISHED_WAIT_MS,
+  FINISHED_RETENTION_MS,
   MOVES_PER_WRITE,
   REMOVALS_PER_WRITE,
 } from './constants.js'
@@ -57,14 +57,15 @@
 }
 
 const isOutdated = (endedAtMs: number): boolean =>
-  Date.now() - endedAtMs > KEEP_FINISHED_MS
+  Date.now() - endedAtMs > FINISHED_RETENTION_MS
 
 /** Whether a group is large enough to write, or its oldest item has waited long enough. */
 function isDue(group: Queued<unknown>[]): boolean {
   const [oldest] = group
   if (oldest === undefined) return false
   return (
-    group.length >= FINISHED_PER_WRITE || monotonicMs() - oldest.since > FINISHED_WAIT_MS
+    group.length >= MIN_FINISHED_PER_WRITE ||
+    monotonicMs() - oldest.since > MAX_FINISHED_WAIT_MS
   )
 }
 
@@ -172,7 +173,7 @@
    * after the takeover, when all of them are outdated.
    */
   async function removeInherited(): Promise<void> {
-    if (monotonicMs() - startedAt < KEEP_FINISHED_MS) return
+    if (monotonicMs() - startedAt < FINISHED_RETENTION_MS) return
     if (!inheritedParts) {
       const parts = await store.parts(ENDED_TABLE)
       if (parts.isErr()) return logFailure(parts.error)
@@ -195,7 +196,7 @@
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
-      await sleep(FINISHED_STEP_MS, stopping.signal)
+      await sleep(FINISHED_CHECK_INTERVAL_MS, stopping.signal)
       if (stopping.signal.aborted || !authority.isConfirmed()) continue
       await moveBatch()
       await removeProgressBatch()
--- a/src/scheduler/health.ts
+++ b/src/scheduler/health.ts
@@ -4,8 +4,8 @@
  */
 import type { Step, Task } from '../jobs/index.js'
 import type { Logger } from '../shared/index.js'
-import { createRunMonitor } from './badRuns.js'
-import type { RunMonitor } from './badRuns.js'
+import { createRunMonitor } from './runMonitor.js'
+import type { RunMonitor } from './runMonitor.js'
 import type { RunTimes } from './runTimes.js'
 import { createSuspicion } from './suspicion.js'
 import type { TargetStanding } from './suspicion.js'
--- a/src/scheduler/heldJobs.ts
+++ b/src/scheduler/heldJobs.ts
@@ -17,9 +17,9 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import {
-  CLOCK_SKEW,
-  HELD_LOOK_MS,
-  HELD_READS,
+  MAX_CLOCK_DRIFT,
+  HELD_JOBS_CHECK_INTERVAL_MS,
+  MAX_HELD_JOB_READS,
   LEASE_MARGIN_MS,
   TASK_LEASE_MS,
 } from './constants.js'
@@ -28,7 +28,7 @@
  * Time after its admission until all runs of a job are known, in ms: targets that answer have
  * reported them by then, and the leases of the other targets have expired.
  */
-const RUNS_KNOWN_MS = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+const RUNS_KNOWN_MS = TASK_LEASE_MS * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
 
 /** The held jobs of one service. */
 export interface HeldJobs {
@@ -91,7 +91,9 @@
 
   /** Takes the next jobs to check and moves them to the end, so that every job is checked. */
   function nextToCheck(): JobSpec[] {
-    const batch = [...held.values()].flatMap((spec) => spec ?? []).slice(0, HELD_READS)
+    const batch = [...held.values()]
+      .flatMap((spec) => spec ?? [])
+      .slice(0, MAX_HELD_JOB_READS)
     for (const spec of batch) {
       held.delete(spec.id)
       held.set(spec.id, spec)
@@ -116,7 +118,7 @@
 
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
-      await sleep(HELD_LOOK_MS, stopping.signal)
+      await sleep(HELD_JOBS_CHECK_INTERVAL_MS, stopping.signal)
       if (stopping.signal.aborted || !mayAdmit()) continue
       for (const spec of nextToCheck()) await checkProgress(spec)
       openDueGates()
--- a/src/scheduler/leavingTargets.ts
+++ b/src/scheduler/leavingTargets.ts
@@ -5,8 +5,8 @@
 import type { TargetList } from '../directory/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { LIST_RETURN_MS } from './constants.js'
-import { moveTasksAway } from './evacuation.js'
+import { MIN_STEADY_LIST_MS } from './constants.js'
+import { evacuateTarget } from './evacuation.js'
 import type { TargetAgent } from './types.js'
 
 /** Inputs of the checks for leaving targets. */
@@ -31,17 +31,17 @@
   for (const agent of agents) {
     const isLeaving = agent.target.draining || isGoneFromList(agent, targets)
     if (isLeaving && agent.isAnswering())
-      moveTasksAway({ agent, agents, hurry: true, log })
+      evacuateTarget({ agent, agents, hurry: true, log })
   }
 }
 
 /**
  * Whether the target has left the list without draining. After an outage of the store, live
  * targets need some time to list themselves again, and an unreadable entry is often rewritten
- * by the target itself at its next heartbeat; so both are given {@link LIST_RETURN_MS}.
+ * by the target itself at its next heartbeat; so both are given {@link MIN_STEADY_LIST_MS}.
  */
 function isGoneFromList(agent: TargetAgent, targets: TargetList): boolean {
   const unreadableSince = targets.unreadableSince(agent.target.id) ?? -Infinity
   const since = Math.max(targets.steadySince(), unreadableSince)
-  return !agent.listed && monotonicMs() - since > LIST_RETURN_MS
+  return !agent.listed && monotonicMs() - since > MIN_STEADY_LIST_MS
 }
--- a/src/scheduler/moveBadRuns.ts
+++ b/src/scheduler/moveUnhealthyRuns.ts
@@ -20,7 +20,7 @@
  * room for it now or it may restart in place. Otherwise all runs of a job may be stopped, three of
  * them within 11 ms, and the job runs nothing for seconds.
  */
-export function moveBadRuns({
+export function moveUnhealthyRuns({
   agents,
   health,
   starter,
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -20,11 +20,11 @@
 import {
   FLUSH_RETRY_MS,
   INTAKE_POLL_MS,
-  READ_LEASE_MS,
-  READ_OTHERS_PAUSE_MS,
-  READ_PACE_MS,
-  READ_PATIENCE_MS,
-  WAITING_FRESH_MS,
+  MIN_LEASE_FOR_READS_MS,
+  OTHER_QUEUES_READ_PAUSE_MS,
+  LEASE_CHECK_INTERVAL_MS,
+  MAX_LEASE_WAIT_MS,
+  MAX_INTAKE_AGE_MS,
 } from './constants.js'
 import type { DemandMeter } from './demand.js'
 import type { HeldJobs } from './heldJobs.js'
@@ -142,7 +142,7 @@
       return
     }
     const taken = book.add(job)
-    if (!expected.delete(job.id)) demand.arrived(taken, monotonicMs())
+    if (!expected.delete(job.id)) demand.noteArrival(taken, monotonicMs())
     if (cancelledEarly.delete(job.id)) book.cancel(job.id)
     const lateMs = Math.max(0, Date.now() - job.acceptedAtMs)
     log.event('jobTaken', { job: job.id, queue: job.queue, service, from, lateMs })
@@ -167,7 +167,7 @@
     evictOldest(expected)
     expected.add(job.id)
     const now = monotonicMs()
-    demand.arrived(createJob(job, now), now)
+    demand.noteArrival(createJob(job, now), now)
     log.event('jobExpected', { job: job.id, queue: job.queue, service })
     opts.demandArrived()
   }
@@ -211,10 +211,10 @@
    * refuse writes of the lease row only.
    */
   async function waitForLease(signal: AbortSignal): Promise<void> {
-    const endsAt = monotonicMs() + READ_PATIENCE_MS
-    while (authority.leaseLeftMs() < READ_LEASE_MS && monotonicMs() < endsAt) {
+    const endsAt = monotonicMs() + MAX_LEASE_WAIT_MS
+    while (authority.leaseLeftMs() < MIN_LEASE_FOR_READS_MS && monotonicMs() < endsAt) {
       if (signal.aborted) return
-      await sleep(READ_PACE_MS, signal)
+      await sleep(LEASE_CHECK_INTERVAL_MS, signal)
     }
   }
 
@@ -265,7 +265,7 @@
     const isReadFirst = (queue: string): boolean =>
       !opts.hasAllQueueRows || first.has(queue)
     async function throttle(isFirst: boolean): Promise<void> {
-      if (isTakeover && !isFirst) await sleep(READ_OTHERS_PAUSE_MS, signal)
+      if (isTakeover && !isFirst) await sleep(OTHER_QUEUES_READ_PAUSE_MS, signal)
       await waitForLease(signal)
     }
     const reading = createPartsReading({
@@ -328,7 +328,7 @@
     knowsAll(queue) {
       const isRead = remainingQueues !== undefined && !remainingQueues.has(queue)
       const freshAt = Math.max(followedAt, mirror?.freshAt() ?? -Infinity)
-      return isRead && monotonicMs() - freshAt < WAITING_FRESH_MS
+      return isRead && monotonicMs() - freshAt < MAX_INTAKE_AGE_MS
     },
     follow(version) {
       takeoverVersion = version
--- a/src/scheduler/orderSender.ts
+++ b/src/scheduler/orderSender.ts
@@ -102,14 +102,14 @@
   const startsLeft = (): number => {
     const fitting = Math.floor(MAX_START_WAIT_MS / Math.max(1, meanStartMs))
     const queueSlots = Math.max(MIN_QUEUED_STARTS, fitting) - queues.start.length
-    return Math.min(queueSlots, startWindow.left())
+    return Math.min(queueSlots, startWindow.available())
   }
 
   async function sendNext(kind: OrderKind): Promise<void> {
     const next = queues[kind].shift()
     if (!next) return
     if (opts.signal.aborted) {
-      if (kind === 'start') startWindow.closed()
+      if (kind === 'start') startWindow.noteEnded()
       return
     }
     const { task, queuedAt, send } = next
@@ -150,7 +150,7 @@
     const placement = runs.placements.get(name)
     if (index < 0 || placement?.run !== run) return false
     queues.start.splice(index, 1)
-    startWindow.closed()
+    startWindow.noteEnded()
     undoPlacement(placement)
     opts.changed()
     return true
@@ -159,7 +159,7 @@
   /** Cancels all queued starts after a failed one, so that their tasks are placed elsewhere. */
   function cancelQueuedStarts(): void {
     for (const { task } of queues.start.splice(0)) {
-      startWindow.closed()
+      startWindow.noteEnded()
       const placement = runs.placements.get(task)
       if (placement) undoPlacement(placement)
     }
@@ -316,12 +316,12 @@
   return {
     start(task, placement, ticket) {
       const orderedAt = monotonicMs()
-      startWindow.opened()
+      startWindow.noteOrdered()
       enqueue('start', task.name, async () => {
         await sendStart(task, placement, ticket)
         const now = monotonicMs()
         const wasSent = Number.isFinite(placement.sentAt)
-        startWindow.closed(wasSent ? now - placement.sentAt : undefined)
+        startWindow.noteEnded(wasSent ? now - placement.sentAt : undefined)
         noteDelay(task.step.job.delays, 'startMs', now - orderedAt)
       })
     },
--- a/src/scheduler/placementRules.ts
+++ b/src/scheduler/placementRules.ts
@@ -47,7 +47,7 @@
 }
 
 /** A policy that forbids nothing. */
-export const OPEN_POLICY: PlacementPolicy = {
+export const UNRESTRICTED_POLICY: PlacementPolicy = {
   isRostered: () => true,
   isIsolated: () => false,
   isSuspect: () => false,
@@ -107,5 +107,5 @@
   if (!agent.isAnswering() || !agent.listed || agent.target.draining) return false
   const { free, countOf } = agent.room
   const view = { agent, free, countOf, startsLeft: Infinity }
-  return stepHoldOf(view, step, OPEN_POLICY) === undefined
+  return stepHoldOf(view, step, UNRESTRICTED_POLICY) === undefined
 }
--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -26,7 +26,7 @@
   /** Cost of running the task on this target rather than another one; 0 without objections. */
   penaltyOf(agent: TargetAgent, task: Task): number
   /** Whether `policy` may treat this step differently from another one with the same needs. */
-  isSpecial(step: Step): boolean
+  hasStepPolicy(step: Step): boolean
   /** Whether `policy` admits the step to targets that are closed to others with the same needs. */
   mayTry(step: Step): boolean
   /** Maximum number of starts planned in this round; unlimited by default. */
@@ -137,7 +137,7 @@
  */
 function constraintKeyOf(step: Step, input: PlanInput): string | undefined {
   const { label, lasting, maxPerTarget } = step.spec
-  if (maxPerTarget > 0 || input.isSpecial(step)) return undefined
+  if (maxPerTarget > 0 || input.hasStepPolicy(step)) return undefined
   return `${lasting} ${label} ${input.mayTry(step)}`
 }
 
--- a/src/scheduler/room.ts
+++ b/src/scheduler/room.ts
@@ -10,9 +10,9 @@
   /** Whether one more task of the step fits. */
   fits(step: Step): boolean
   /** Reserves the resources of one task of the step, also beyond what is free. */
-  take(step: Step): void
+  reserve(step: Step): void
   /** Releases the resources of one task of the step. */
-  give(step: Step): void
+  release(step: Step): void
   /** Sets the capacity; what is free may become negative. */
   resize(capacity: Resources): void
 }
@@ -43,11 +43,11 @@
       const need = needOf(step)
       return need.cpu <= free.cpu && need.memMb <= free.memMb && need.gpu <= free.gpu
     },
-    take(step) {
+    reserve(step) {
       change(needOf(step), -1)
       counts.set(step, (counts.get(step) ?? 0) + 1)
     },
-    give(step) {
+    release(step) {
       change(needOf(step), 1)
       const left = (counts.get(step) ?? 0) - 1
       if (left > 0) counts.set(step, left)
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -16,13 +16,13 @@
 import type { Logger } from '../shared/index.js'
 import type { FleetAnswer, ServiceReport } from '../vms/types.js'
 import {
-  FIRST_LOOK_WAIT_MS,
-  FLEET_ANSWER_WAIT_MS,
-  HOUSEKEEPING_MS,
-  PLAN_GAP_MS,
+  MAX_FIRST_READ_WAIT_MS,
+  MAX_FLEET_ANSWER_WAIT_MS,
+  HOUSEKEEPING_INTERVAL_MS,
+  MIN_PLAN_INTERVAL_MS,
 } from './constants.js'
 import { createDemandMeter } from './demand.js'
-import { followFleetAnswer } from './evacuation.js'
+import { applyFleetAnswer } from './evacuation.js'
 import { createFinishedJobs } from './finishedJobs.js'
 import { createHealth } from './health.js'
 import { closeLapsed, emptyLeaving } from './leavingTargets.js'
@@ -31,8 +31,8 @@
 import { createLifeCheck } from './lifeCheck.js'
 import { createIsolation } from './isolation.js'
 import { createNewJobs } from './newJobs.js'
-import { moveBadRuns } from './moveBadRuns.js'
-import { createPaced } from './paced.js'
+import { moveUnhealthyRuns } from './moveUnhealthyRuns.js'
+import { createThrottled } from './throttle.js'
 import { createProgressWriter } from './progressWriter.js'
 import { createQueueRows } from './queueRows.js'
 import { createRoster } from './roster.js'
@@ -110,7 +110,7 @@
   const inheritedRead = new Promise<void>((resolve) => (resolveInheritedRead = resolve))
   const startedAt = monotonicMs()
 
-  const wake = createPaced(plan, PLAN_GAP_MS)
+  const wake = createThrottled(plan, MIN_PLAN_INTERVAL_MS)
 
   const progress = createProgressWriter({
     store,
@@ -176,7 +176,7 @@
     isGateOpen,
     adopted(jobs) {
       for (const job of jobs) if (job.durableOutcome) finished.add(job)
-      demand.inherited(jobs, monotonicMs(), Date.now())
+      demand.noteInherited(jobs, monotonicMs(), Date.now())
       for (const agent of allAgents()) agent.adoptKnown()
       wake()
     },
@@ -271,7 +271,7 @@
    */
   function mayLoseVms(): boolean {
     if (opts.cloud === undefined || fleetAnswered) return false
-    return monotonicMs() - startedAt < FLEET_ANSWER_WAIT_MS
+    return monotonicMs() - startedAt < MAX_FLEET_ANSWER_WAIT_MS
   }
 
   /**
@@ -280,7 +280,7 @@
    */
   function mayMissCancels(): boolean {
     if (Number.isFinite(intake.freshAt())) return false
-    return monotonicMs() - startedAt < FIRST_LOOK_WAIT_MS
+    return monotonicMs() - startedAt < MAX_FIRST_READ_WAIT_MS
   }
 
   /** Allows inherited tasks to start once the runs on all targets are settled. */
@@ -305,11 +305,11 @@
       follower.reopen()
       newJobs.admitDeferred()
       emptyLeaving({ targets, agents: allAgents(), log })
-      moveBadRuns({ agents: allAgents(), health, starter, log })
-      waitWatch.look(allAgents())
+      moveUnhealthyRuns({ agents: allAgents(), health, starter, log })
+      waitWatch.check(allAgents())
       await lifeCheck.run(allAgents())
       wake()
-      await sleep(HOUSEKEEPING_MS, stopping.signal)
+      await sleep(HOUSEKEEPING_INTERVAL_MS, stopping.signal)
     }
   }
 
@@ -336,7 +336,7 @@
       demand.report(service, authority.term, book.open, allAgents(), monotonicMs()),
     evacuate(answer) {
       fleetAnswered = true
-      followFleetAnswer(answer, allAgents, log)
+      applyFleetAnswer(answer, allAgents, log)
       wake()
     },
     async stop(handOver) {
--- a/src/scheduler/startWindow.ts
+++ b/src/scheduler/startWindow.ts
@@ -38,14 +38,14 @@
 /** The starts in flight of one owner. */
 export interface StartWindow {
   /** Returns the number of starts that may be ordered now. */
-  left(): number
+  available(): number
   /** Records that a start has been ordered. */
-  opened(): void
+  noteOrdered(): void
   /**
    * Records that a start has been answered, has failed or was not sent.
    * @param tookMs time from the call to the answer, in ms; undefined if it was not sent
    */
-  closed(tookMs?: number): void
+  noteEnded(tookMs?: number): void
   /** Whether the owner cannot order starts as fast as they become due. */
   isBehind(): boolean
   /** Returns the highest recent rate of answered starts per second. */
@@ -112,12 +112,12 @@
   }
 
   return {
-    left: () => Math.max(0, size - inFlight),
-    opened() {
+    available: () => Math.max(0, size - inFlight),
+    noteOrdered() {
       inFlight++
       if (inFlight >= size) wasFull = true
     },
-    closed(tookMs) {
+    noteEnded(tookMs) {
       const isFull = inFlight >= size
       inFlight--
       if (tookMs !== undefined) answerTimes.push(tookMs)
--- a/src/scheduler/starter.ts
+++ b/src/scheduler/starter.ts
@@ -91,7 +91,7 @@
   }
 
   function start(agents: TargetAgent[]): void {
-    const startsLeft = startWindow.left()
+    const startsLeft = startWindow.available()
     if (book.ready.size === 0 || startsLeft === 0) return
     const now = monotonicMs()
     const round = beginRound(agents, now)
@@ -102,7 +102,7 @@
       urgencyOf: createUrgencyLookup(now),
       policy: policyOf(round, isolationRound),
       penaltyOf: health.penaltyOf,
-      isSpecial: (step) => needsTicket(step) || step.crashSuspects.size > 0,
+      hasStepPolicy: (step) => needsTicket(step) || step.crashSuspects.size > 0,
       mayTry: round.mayUseSuspects,
       startsLeft,
       planned(agent, step) {
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -5,7 +5,7 @@
  */
 import type { Job, Step } from '../jobs/index.js'
 import type { Health } from './health.js'
-import { OPEN_POLICY, stepHoldOf } from './placementRules.js'
+import { UNRESTRICTED_POLICY, stepHoldOf } from './placementRules.js'
 import type { PlacementView } from './placementRules.js'
 import type { TargetAgent } from './types.js'
 
@@ -74,7 +74,7 @@
       (agent) =>
         agent.isUsable() &&
         health.standingOf(agent) === 'sound' &&
-        stepHoldOf(emptyViewOf(agent), step, OPEN_POLICY) === undefined,
+        stepHoldOf(emptyViewOf(agent), step, UNRESTRICTED_POLICY) === undefined,
     )
     soundTargetExists.set(step, found)
     return found
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -27,11 +27,11 @@
 import { createPacer } from '../sharing/index.js'
 import { callWithRetries } from './ask.js'
 import {
-  ACK_WAIT_MS,
+  MAX_ACK_WAIT_MS,
   ANSWER_TIMEOUT_MS,
-  BUSY_WAIT_MS,
-  MIN_ANSWER_MS,
-  PACED_WAIT_MS,
+  FINITE_TASK_SYNC_WAIT_MS,
+  MIN_ANSWER_TIMEOUT_MS,
+  PACED_SYNC_WAIT_MS,
   STABLE_CHECK_MARGIN_MS,
   SYNC_RETRY_MS,
   SYNC_WAIT_MS,
@@ -82,7 +82,10 @@
   const stopping = createStopController()
   const { signal } = stopping
   const lease = createTargetLease(opts.inheritedLeaseMs)
-  const roundTrip = createRoundTrip({ leastMs: MIN_ANSWER_MS, mostMs: ANSWER_TIMEOUT_MS })
+  const roundTrip = createRoundTrip({
+    leastMs: MIN_ANSWER_TIMEOUT_MS,
+    mostMs: ANSWER_TIMEOUT_MS,
+  })
   const pacer = createPacer()
   const silence = createTargetSilence(targetId, log)
   let target = opts.target
@@ -289,10 +292,10 @@
 
   /** Time for which the target may hold the poll until a run ends, in ms. */
   function pollWaitMs(): number {
-    if (runs.shared().some(({ fills }) => fills)) return PACED_WAIT_MS
+    if (runs.shared().some(({ fills }) => fills)) return PACED_SYNC_WAIT_MS
     const isBusy = [...placements.values()].some(({ task }) => !task?.step.spec.lasting)
     // While the owner is behind, shorter polls would take processor time from waiting starts.
-    return isBusy && !startWindow.isBehind() ? BUSY_WAIT_MS : SYNC_WAIT_MS
+    return isBusy && !startWindow.isBehind() ? FINITE_TASK_SYNC_WAIT_MS : SYNC_WAIT_MS
   }
 
   async function syncUntilClosed(): Promise<void> {
@@ -303,9 +306,9 @@
         await sleep(SYNC_RETRY_MS, signal)
         continue
       }
-      if (runs.ackableEndSeq() > ackedSeq) await progress.flushed(ACK_WAIT_MS)
+      if (runs.ackableEndSeq() > ackedSeq) await progress.flushed(MAX_ACK_WAIT_MS)
       // A target answers a poll at once while ended runs are unacknowledged, so pause here.
-      if (runs.lastEndSeq() > runs.ackableEndSeq()) await sleep(ACK_WAIT_MS, signal)
+      if (runs.lastEndSeq() > runs.ackableEndSeq()) await sleep(MAX_ACK_WAIT_MS, signal)
       const isCaughtUp = hasReported() && runs.lastEndSeq() === ackedSeq
       const isAnswered = await syncOnce(isCaughtUp ? pollWaitMs() : 0)
       if (!isAnswered) await sleep(jittered(SYNC_RETRY_MS), signal)
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -9,7 +9,7 @@
 import type { Target, TargetOrders } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
-import { CLOCK_SKEW, LEASE_MARGIN_MS, TASK_LEASE_MS } from './constants.js'
+import { MAX_CLOCK_DRIFT, LEASE_MARGIN_MS, TASK_LEASE_MS } from './constants.js'
 import type { Health } from './health.js'
 import type { Isolation } from './isolation.js'
 import type { ProgressWriter } from './progressWriter.js'
@@ -75,7 +75,7 @@
   /** Longest time for which unknown runs of the previous owner can go on, in ms. */
   const inheritedLeaseMs =
     (authority.predecessorMayLive ? GRACE_MS : 0) +
-    TASK_LEASE_MS * (1 + CLOCK_SKEW) +
+    TASK_LEASE_MS * (1 + MAX_CLOCK_DRIFT) +
     LEASE_MARGIN_MS
 
   function removeAgent(agent: TargetAgent): void {
--- a/src/scheduler/targetLease.ts
+++ b/src/scheduler/targetLease.ts
@@ -5,7 +5,7 @@
  */
 import { monotonicMs } from '../shared/index.js'
 import {
-  CLOCK_SKEW,
+  MAX_CLOCK_DRIFT,
   LEASE_MARGIN_MS,
   MAX_LEASE_MS,
   SYNC_WAIT_MS,
@@ -51,12 +51,12 @@
     reset(clockMs) {
       const now = monotonicMs()
       clock = { clockMs, at: now }
-      expiresAt = now + MAX_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      expiresAt = now + MAX_LEASE_MS * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
     },
     extend() {
       if (!clock) return undefined
       const now = monotonicMs()
-      const durationMs = TASK_LEASE_MS * (1 + CLOCK_SKEW) + LEASE_MARGIN_MS
+      const durationMs = TASK_LEASE_MS * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
       expiresAt = Math.max(expiresAt, now + durationMs)
       return Math.floor(clock.clockMs + (now - clock.at) + TASK_LEASE_MS)
     },
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -141,14 +141,14 @@
   function add(task: Task, run: number, state: Placement['state']): Placement {
     const placement = createPlacement(task, run, state)
     placements.set(task.name, placement)
-    room.take(task.step)
+    room.reserve(task.step)
     return placement
   }
 
   function remove(placement: Placement): void {
     if (placements.get(placement.name) !== placement) return
     placements.delete(placement.name)
-    if (placement.task) room.give(placement.task.step)
+    if (placement.task) room.release(placement.task.step)
   }
 
   /** Removes a run that is over although the target has not listed its end. */
--- a/src/scheduler/paced.ts
+++ b/src/scheduler/throttle.ts
@@ -6,7 +6,7 @@
  * loop or, if the last one was less than `gapMs` ago, after `gapMs`. All requests until then share
  * one call.
  */
-export function createPaced(call: () => void, gapMs: number): () => void {
+export function createThrottled(call: () => void, gapMs: number): () => void {
   let isScheduled = false
   let calledAt = -Infinity
 
--- a/src/scheduler/waitWatch.ts
+++ b/src/scheduler/waitWatch.ts
@@ -49,7 +49,7 @@
 /** Explains why jobs wait. */
 export interface WaitWatch {
   /** Logs the waits that are due for a report; called periodically. */
-  look(agents: TargetAgent[]): void
+  check(agents: TargetAgent[]): void
   /** Returns why a job waits now; undefined if it does not wait. */
   explain(job: Job, agents: TargetAgent[]): WaitReport | undefined
 }
@@ -136,7 +136,7 @@
       const task = waitingTaskOf(job)
       return task && reportOf(task, agents, opts.policyNow(agents))
     },
-    look(agents) {
+    check(agents) {
       const now = monotonicMs()
       const busy = isBusy(agents)
       const policy = opts.policyNow(agents)
