--- a/src/scheduler/__tests__/ask.spec.ts
+++ b/src/scheduler/__tests__/callWithRetries.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from '../../../test/describe.js'
 import type { OrderFailure } from '../../ports/index.js'
 import { PlatformError, createRoundTrip, sleep } from '../../shared/index.js'
-import { callWithRetries } from '../ask.js'
+import { callWithRetries } from '../callWithRetries.js'
 import { ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS } from '../constants.js'
 
 const failedResult = (failure: OrderFailure) => {
--- a/src/scheduler/__tests__/lifeCheck.spec.ts
+++ b/src/scheduler/__tests__/livenessCheck.spec.ts
@@ -2,7 +2,7 @@
 import { describe, it } from '../../../test/describe.js'
 import type { Vm, VmCloud } from '../../ports/index.js'
 import { createMemoryLogger, monotonicMs, sleep } from '../../shared/index.js'
-import { createLifeCheck } from '../lifeCheck.js'
+import { createLivenessCheck } from '../livenessCheck.js'
 import type { TargetAgent } from '../types.js'
 
 /** Time between two checks, in ms; longer than the shortest time between two reads of the list. */
@@ -15,7 +15,7 @@
     target: { id },
     placements: new Map([['task', {}]]),
     isAnswering: () => false,
-    isSettled: () => true,
+    isStateKnown: () => true,
     firstReportAt: () => firstReportAt,
     isGone: false,
     markGone: () => void (agent.isGone = true),
@@ -26,7 +26,7 @@
 function createCheck(listedIds: string[]) {
   const vms = listedIds.map((targetId) => ({ targetId }) as Vm)
   const cloud = { list: async () => ok(vms) } as unknown as VmCloud
-  return createLifeCheck(cloud, createMemoryLogger())
+  return createLivenessCheck(cloud, createMemoryLogger())
 }
 
 async function runChecks(
--- a/src/scheduler/demand.ts
+++ b/src/scheduler/demand.ts
@@ -175,7 +175,7 @@
       for (const step of job.occurrences[0]?.steps ?? []) {
         if (step.spec.lasting) continue
         const { cpu, memory } = roomOf(step, targetRoom)
-        work += step.tasks.length * Math.max(cpu, memory) * runTimes.meanOf(step)
+        work += step.tasks.length * Math.max(cpu, memory) * runTimes.meanRunMs(step)
       }
       if (work > 0) meterOf(job.spec.queue).note(work, now)
     },
@@ -259,7 +259,7 @@
     sum.memory.lasting += memory * (ready + placed)
     return
   }
-  const readyMs = ready * runTimes.meanOf(step)
+  const readyMs = ready * runTimes.meanRunMs(step)
   sum.cpu.running += cpu * placed
   sum.memory.running += memory * placed
   sum.cpu.backlog += cpu * readyMs
--- a/src/scheduler/leavingTargets.ts
+++ b/src/scheduler/leavingTargets.ts
@@ -18,16 +18,18 @@
 }
 
 /** Marks unlisted targets as gone that have no runs and do not answer. */
-export function closeLapsed({ agents }: Pick<LeavingTargetsOptions, 'agents'>): void {
+export function markUnlistedGone({
+  agents,
+}: Pick<LeavingTargetsOptions, 'agents'>): void {
   for (const agent of agents) {
     if (agent.listed || agent.placements.size > 0) continue
-    if (agent.isSettled() && !agent.isAnswering())
+    if (agent.isStateKnown() && !agent.isAnswering())
       agent.markGone('not listed and not answering')
   }
 }
 
 /** Moves tasks off leaving targets, as their runs end with the target. */
-export function emptyLeaving({ targets, agents, log }: LeavingTargetsOptions): void {
+export function evacuateLeaving({ targets, agents, log }: LeavingTargetsOptions): void {
   for (const agent of agents) {
     const isLeaving = agent.target.draining || isGoneFromList(agent, targets)
     if (isLeaving && agent.isAnswering())
--- a/src/scheduler/lifeCheck.ts
+++ b/src/scheduler/livenessCheck.ts
@@ -24,14 +24,17 @@
 const MIN_NEW_ABSENT_MS = 700
 
 /** Checks silent targets against the list of VMs. */
-export interface LifeCheck {
+export interface LivenessCheck {
   /** Reads the list if a target is in doubt and the last read is old enough. */
   run(agents: TargetAgent[]): Promise<void>
 }
 
 /** Creates the check; without a cloud it does nothing. */
 
-export function createLifeCheck(cloud: VmCloud | undefined, log: Logger): LifeCheck {
+export function createLivenessCheck(
+  cloud: VmCloud | undefined,
+  log: Logger,
+): LivenessCheck {
   /** Monotonic time of the first read that lacked the target, in ms, by id. */
   const absentSince = new Map<string, number>()
   /** Ids of the targets in doubt at the last read. */
@@ -40,7 +43,7 @@
   let lastReadTookMs = 0
 
   const isDoubtful = (agent: TargetAgent): boolean =>
-    !agent.isAnswering() && (agent.placements.size > 0 || !agent.isSettled())
+    !agent.isAnswering() && (agent.placements.size > 0 || !agent.isStateKnown())
 
   /** Whether a read sent at that time must show the target's VM unless it is gone. */
   const mustBeListed = (agent: TargetAgent, sentAt: number): boolean =>
--- a/src/scheduler/runMonitor.ts
+++ b/src/scheduler/runMonitor.ts
@@ -139,8 +139,9 @@
     const { task, state, reportedAt, percent } = placement
     if (!task || state !== 'running' || !hasMeasurableSpeed(task.step)) return undefined
     const ranMs = reportedAt - task.startedAt
-    if (ranMs < MIN_MEASURED_RUN_MS || !runTimes.knows(task.step)) return undefined
-    const pace = (percent * runTimes.meanOf(task.step)) / (100 * ranMs)
+    if (ranMs < MIN_MEASURED_RUN_MS || !runTimes.hasEnoughRuns(task.step))
+      return undefined
+    const pace = (percent * runTimes.meanRunMs(task.step)) / (100 * ranMs)
     return { step: task.step, agent, pace, startedAt: task.startedAt, at: reportedAt }
   }
 
@@ -193,8 +194,8 @@
   /** Whether the rest of a run takes longer than a restart elsewhere, including the move. */
   function isSlowerThanRestart({ step, pace }: Pace, percent: number): boolean {
     const leftMs =
-      ((100 - percent) / 100) * (runTimes.meanOf(step) / Math.max(pace, 1e-3))
-    return leftMs > 2 * runTimes.meanOf(step)
+      ((100 - percent) / 100) * (runTimes.meanRunMs(step) / Math.max(pace, 1e-3))
+    return leftMs > 2 * runTimes.meanRunMs(step)
   }
 
   /** Returns the slow runs on one target, except those whose job is the cause. */
@@ -254,9 +255,9 @@
   return {
     noteDone(agent, task) {
       const { step } = task
-      if (!hasMeasurableSpeed(step) || !runTimes.knows(step)) return false
+      if (!hasMeasurableSpeed(step) || !runTimes.hasEnoughRuns(step)) return false
       const at = monotonicMs()
-      const pace = runTimes.meanOf(step) / Math.max(1, at - task.startedAt)
+      const pace = runTimes.meanRunMs(step) / Math.max(1, at - task.startedAt)
       const { startedAt } = task
       const recent = [...recentlyDone(agent), { step, agent, pace, startedAt, at }]
       done.set(agent, recent.slice(-RECENT_RUNS))
--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -18,13 +18,13 @@
   /** Adds a successful run. */
   note(task: Task, ranMs: number): void
   /** Whether the queue has had enough runs to judge a run by their average. */
-  knows(step: Step): boolean
+  hasEnoughRuns(step: Step): boolean
   /** Expected run time of one task of the step, in ms. */
-  meanOf(step: Step): number
+  meanRunMs(step: Step): number
   /** Expected time of the job's critical path, in ms. */
-  chainOf(job: Job): number
+  criticalPathMs(job: Job): number
   /** Expected time left on the job's critical path at the monotonic time `now`, in ms. */
-  remainingOf(job: Job, now: number): number
+  remainingPathMs(job: Job, now: number): number
 }
 
 /** Creates estimates without any runs. */
@@ -63,10 +63,10 @@
       const previous = meanByQueue.get(queue) ?? ranMs
       meanByQueue.set(queue, previous + (ranMs - previous) * NEWEST_RUN_WEIGHT)
     },
-    knows: (step) => (runCounts.get(step.job.spec.queue) ?? 0) >= MIN_RUNS,
-    meanOf: expectedRunMs,
-    chainOf: (job) => longestPathMs(job, stepTimeMs),
-    remainingOf: (job, now) =>
+    hasEnoughRuns: (step) => (runCounts.get(step.job.spec.queue) ?? 0) >= MIN_RUNS,
+    meanRunMs: expectedRunMs,
+    criticalPathMs: (job) => longestPathMs(job, stepTimeMs),
+    remainingPathMs: (job, now) =>
       longestPathMs(job, (step) => Math.max(0, stepTimeMs(step) - runningMs(step, now))),
   }
 }
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -25,10 +25,10 @@
 import { applyFleetAnswer } from './evacuation.js'
 import { createFinishedJobs } from './finishedJobs.js'
 import { createHealth } from './health.js'
-import { closeLapsed, emptyLeaving } from './leavingTargets.js'
+import { markUnlistedGone, evacuateLeaving } from './leavingTargets.js'
 import { createHeldJobs } from './heldJobs.js'
 import { createInheritedJobs } from './inheritedJobs.js'
-import { createLifeCheck } from './lifeCheck.js'
+import { createLivenessCheck } from './livenessCheck.js'
 import { createIsolation } from './isolation.js'
 import { createNewJobs } from './newJobs.js'
 import { moveUnhealthyRuns } from './moveUnhealthyRuns.js'
@@ -162,7 +162,7 @@
     },
   })
   const tickets = createTickets({ advice: opts.advice, log, changed: wake })
-  const lifeCheck = createLifeCheck(opts.cloud, log)
+  const lifeCheck = createLivenessCheck(opts.cloud, log)
   const unreadableRows = createUnreadRows(log, INTAKE_TABLE)
   const isGateOpen = (): boolean => gateOpen
   const held = createHeldJobs({ store, service, authority, book, log, isGateOpen })
@@ -285,7 +285,7 @@
 
   /** Allows inherited tasks to start once the runs on all targets are settled. */
   function openGateOnceSettled(): void {
-    if (gateOpen || !allAgents().every((agent) => agent.isSettled())) return
+    if (gateOpen || !allAgents().every((agent) => agent.isStateKnown())) return
     gateOpen = true
     log.event('takeoverDone', { service, term: authority.term, targets: agents.size })
     book.openGate()
@@ -301,10 +301,10 @@
   async function runHousekeeping(): Promise<void> {
     while (!stopping.signal.aborted) {
       book.markDue()
-      closeLapsed({ agents: allAgents() })
+      markUnlistedGone({ agents: allAgents() })
       follower.reopen()
       newJobs.admitDeferred()
-      emptyLeaving({ targets, agents: allAgents(), log })
+      evacuateLeaving({ targets, agents: allAgents(), log })
       moveUnhealthyRuns({ agents: allAgents(), health, starter, log })
       waitWatch.check(allAgents())
       await lifeCheck.run(allAgents())
--- a/src/scheduler/starter.ts
+++ b/src/scheduler/starter.ts
@@ -110,7 +110,7 @@
         isolationRound.recordPlanned(agent, step)
       },
     })
-    for (const step of waiting) if (needsTicket(step)) tickets.want(step, agents)
+    for (const step of waiting) if (needsTicket(step)) tickets.request(step, agents)
     for (const { task, agent } of starts) {
       const run = Math.max(task.run + 1, firstRun)
       agent.start(task, run, ticketFor(task.step, agent))
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -25,7 +25,7 @@
 } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createPacer } from '../sharing/index.js'
-import { callWithRetries } from './ask.js'
+import { callWithRetries } from './callWithRetries.js'
 import {
   MAX_ACK_WAIT_MS,
   ANSWER_TIMEOUT_MS,
@@ -362,9 +362,9 @@
     hold: () => HOLD_RULES.find(({ applies }) => applies())?.hold,
     isUsable: () => agent.hold() === undefined,
     pausedUntil: () => pausedUntil,
-    settledBy: lease.expiresAt,
+    leaseExpiresAt: lease.expiresAt,
     firstReportAt: () => firstReportAt,
-    isSettled: () => hasReported() || isGone || lease.isExpired(),
+    isStateKnown: () => hasReported() || isGone || lease.isExpired(),
     isSilent: () => !silence.isAnswering(),
     isAnswering: () => silence.isAnswering() && hasReported() && !isGone,
     update(next) {
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -21,7 +21,7 @@
   /** Ticket for a start; undefined while there is none, or if the target is not permitted. */
   find(step: Step, agent: TargetAgent): string | undefined
   /** Requests tickets for a waiting step, unless the last answer is still valid. */
-  want(step: Step, agents: TargetAgent[]): void
+  request(step: Step, agents: TargetAgent[]): void
   /** Discards a ticket that the target refused. */
   discard(step: Step, targetId: string): void
 }
@@ -80,7 +80,7 @@
       if (!state || state.validUntil - monotonicMs() < MIN_VALID_MS) return undefined
       return state.tickets.get(agent.target.id)
     },
-    want(step, agents) {
+    request(step, agents) {
       const state = adviceByStep.get(step) ?? {
         tickets: new Map(),
         validUntil: 0,
--- a/src/scheduler/types.ts
+++ b/src/scheduler/types.ts
@@ -38,11 +38,11 @@
    * Whether the runs on the target are known: it has reported to this owner, is gone, or its
    * lease has expired.
    */
-  isSettled(): boolean
+  isStateKnown(): boolean
   /** Monotonic time of the first report of this incarnation, in ms; Infinity before. */
   firstReportAt(): number
   /** Monotonic time at which the lease expires unless it is extended, in ms. */
-  settledBy(): number
+  leaseExpiresAt(): number
   /** Whether the target has reported and is neither silent nor gone. */
   isAnswering(): boolean
   /** Whether a call has failed since the last answer, or since the first call without any. */
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/urgency.ts
@@ -46,8 +46,8 @@
   const priority = queue?.priority ?? LOWEST_PRIORITY
   const lasting = job.spec.steps.some((step) => step.lasting)
   if (!queue || lasting) return { priority, standing: 'timely', deadline: job.arrivedAt }
-  const objectiveMs = queue.stretch * runTimes.chainOf(job) + queue.latencyMs
-  const endsAt = now + delayMs + runTimes.remainingOf(job, now)
+  const objectiveMs = queue.stretch * runTimes.criticalPathMs(job) + queue.latencyMs
+  const endsAt = now + delayMs + runTimes.remainingPathMs(job, now)
   const deadline = job.arrivedAt + objectiveMs
   if (endsAt <= deadline) return { priority, standing: 'timely', deadline }
   const uselessAt = job.arrivedAt + USELESS_FACTOR * objectiveMs
--- a/src/scheduler/waitWatch.ts
+++ b/src/scheduler/waitWatch.ts
@@ -165,8 +165,8 @@
  * are settled.
  */
 function takeoverHolds(agents: TargetAgent[]): HoldSummary {
-  const unsettled = agents.filter((agent) => !agent.isSettled())
-  const endsAt = Math.max(-Infinity, ...unsettled.map((agent) => agent.settledBy()))
+  const unsettled = agents.filter((agent) => !agent.isStateKnown())
+  const endsAt = Math.max(-Infinity, ...unsettled.map((agent) => agent.leaseExpiresAt()))
   return { holds: { takeover: unsettled.length }, endsAt }
 }
 
