--- a/src/ownership/__tests__/ownEpoch.spec.ts
+++ b/src/ownership/__tests__/ownEpoch.spec.ts
@@ -87,7 +87,7 @@
     await withOwner(async ({ authority, writer }) => {
       t.false(authority.isConfirmed())
       const job = createJob(makeJob({}), 0)
-      writer.mark(job)
+      writer.markDirty(job)
       t.true(await until(() => job.progressVersion > 0, 400))
       t.false(authority.isLost())
       t.true(await until(() => authority.isConfirmed(), 2 * LATE_MS))
@@ -107,7 +107,7 @@
       const other = { node: 'n2', life: 'n2-1', term: authority.term + 1 }
       const key = { table: EPOCH_TABLE, part: SERVICE, key: 'epoch' }
       table.put(key, JSON.stringify(other))
-      writer.mark(createJob(makeJob({}), 0))
+      writer.markDirty(createJob(makeJob({}), 0))
       t.true(await until(() => authority.isLost(), 1000))
     })
   })
--- a/src/scheduler/progressWriter.ts
+++ b/src/scheduler/progressWriter.ts
@@ -27,7 +27,7 @@
 /** Writes the progress of the jobs of one service. */
 export interface ProgressWriter {
   /** Schedules a write of the job's progress. */
-  mark(job: Job): void
+  markDirty(job: Job): void
   addSource(source: AckSource): void
   removeSource(source: AckSource): void
   /** Resolves to true once all progress so far is durable; to false after `ms` or on stop. */
@@ -155,7 +155,7 @@
   }
 
   return {
-    mark(job) {
+    markDirty(job) {
       dirty.add(job)
       schedule()
     },
--- a/src/scheduler/roster.ts
+++ b/src/scheduler/roster.ts
@@ -37,14 +37,14 @@
 }
 
 /** A target on which a predecessor may have started tasks. */
-export interface InheritedEntry {
+export interface InheritedRosterEntry {
   id: string
   /** Undefined if the row cannot be read; its key alone shows that tasks may run there. */
   address: string | undefined
 }
 
 /** Decodes a row of the roster; a row that cannot be read gives an entry without address. */
-export function decodeRosterEntry({ key, value }: StoredRow): InheritedEntry {
+export function decodeRosterEntry({ key, value }: StoredRow): InheritedRosterEntry {
   const parsed = entrySchema.safeParse(parseJson(value))
   return { id: key, address: parsed.data?.address }
 }
@@ -64,13 +64,13 @@
 export function createRoster(opts: {
   store: RowStore
   authority: Authority
-  entries: InheritedEntry[]
+  entries: InheritedRosterEntry[]
   log: Logger
   /** Called when entries have become durable. */
   added(): void
 }): Roster {
   const { store, authority, log } = opts
-  const isReadable = ({ address }: InheritedEntry): boolean => address !== undefined
+  const isReadable = ({ address }: InheritedRosterEntry): boolean => address !== undefined
   const durable = new Set(opts.entries.filter(isReadable).map(({ id }) => id))
   const unreadable = new Set(
     opts.entries.map(({ id }) => id).filter((id) => !durable.has(id)),
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -134,7 +134,7 @@
     },
     now: monotonicMs,
     wallMs: Date.now,
-    changed: progress.mark,
+    changed: progress.markDirty,
     dropped: (task) => agents.get(task.targetId ?? '')?.stop(task.name),
     wake,
     ended: (job, outcome, cause) =>
--- a/src/scheduler/takeover.ts
+++ b/src/scheduler/takeover.ts
@@ -11,7 +11,7 @@
 import { cacheSuccess, intakeVersion } from './intakeReading.js'
 import { QUEUES_TABLE } from './queueRows.js'
 import { ROSTER_TABLE, decodeRosterEntry } from './roster.js'
-import type { InheritedEntry } from './roster.js'
+import type { InheritedRosterEntry } from './roster.js'
 
 /** Progress rows by job id, and the ids of the jobs whose progress row cannot be read. */
 export interface InheritedProgress {
@@ -21,7 +21,7 @@
 
 /** State that a predecessor has left in the store, apart from the jobs themselves. */
 export interface InheritedState extends InheritedProgress {
-  roster: InheritedEntry[]
+  roster: InheritedRosterEntry[]
   /** Queues from which jobs may have been started. */
   queues: string[]
   /** Version after which changes of the intake are followed; older rows are read in full. */
@@ -63,7 +63,7 @@
   store: RowStore,
   service: string,
   log: Logger,
-): Promise<Result<InheritedEntry[], PlatformError>> {
+): Promise<Result<InheritedRosterEntry[], PlatformError>> {
   const roster = await store.read(ROSTER_TABLE, service)
   if (roster.isErr()) return err(roster.error)
   const unreadableRows = createUnreadRows(log, ROSTER_TABLE)
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -13,7 +13,7 @@
 import type { Health } from './health.js'
 import type { Isolation } from './isolation.js'
 import type { ProgressWriter } from './progressWriter.js'
-import type { InheritedEntry, Roster } from './roster.js'
+import type { InheritedRosterEntry, Roster } from './roster.js'
 import type { RunTimes } from './runTimes.js'
 import type { StartWindow } from './startWindow.js'
 import { createTargetAgent } from './targetAgent.js'
@@ -23,7 +23,7 @@
 /** Opens and closes the agents of the targets of one service. */
 export interface TargetFollower {
   /** Opens agents for the targets of the previous owner's roster, as not listed yet. */
-  inherit(entries: InheritedEntry[]): void
+  inherit(entries: InheritedRosterEntry[]): void
   /** Applies the list: opens agents for new targets and notes targets that have left. */
   follow(): void
   /**
@@ -119,7 +119,7 @@
    * Opens the agent of a target in the roster. Without an address the target counts as silent
    * until the list shows its address, no VM has its id any more, or all leases have expired.
    */
-  function openInherited({ id, address }: InheritedEntry): void {
+  function openInherited({ id, address }: InheritedRosterEntry): void {
     inheritedIds.add(id)
     open(createUnlistedTarget(id, address ?? '', service)).listed = false
   }
