--- a/bench/node.ts
+++ b/bench/node.ts
@@ -11,8 +11,8 @@
 import { startSimPlatform } from '../playground/sim/wireServer.js'
 import type { SimPlatform } from '../playground/sim/wireServer.js'
 import {
-  IDLE_LEASE_PACES,
-  IDLE_PACE_MS,
+  IDLE_LEASE_INTERVALS,
+  IDLE_RENEW_MS,
   IDLE_RENEWALS_PER_S,
   NODES_TABLE,
 } from '../src/ownership/index.js'
@@ -64,7 +64,7 @@
 function renewMembers({ table }: SimPlatform, count: number): NodeJS.Timeout {
   let next = 0
   const perStep = Math.ceil(count / RENEWAL_STEPS)
-  const paceMs = Math.max(IDLE_PACE_MS, (count / IDLE_RENEWALS_PER_S) * 1000)
+  const paceMs = Math.max(IDLE_RENEW_MS, (count / IDLE_RENEWALS_PER_S) * 1000)
   return setInterval(() => {
     for (let each = 0; each < perStep; each++) {
       const id = `member-${next++ % count}`
@@ -73,7 +73,7 @@
         address: '10.0.0.1:7060',
         hall: 'h1',
         room: 0.3,
-        leaseMs: paceMs * IDLE_LEASE_PACES,
+        leaseMs: paceMs * IDLE_LEASE_INTERVALS,
         owns: [],
         leaving: true,
       }
--- a/src/entry/targetView.ts
+++ b/src/entry/targetView.ts
@@ -8,7 +8,7 @@
   jobKey,
   jobPrefix,
   jobRowSchema,
-  servesWork,
+  acceptsWork,
   vmKey,
   vmPrefix,
   vmRowSchema,
@@ -139,7 +139,7 @@
     const vm = checked && vmOf(checked)
     const active =
       checked?.state === 'running' &&
-      servesWork(vm) &&
+      acceptsWork(vm) &&
       vm?.incarnation === target.incarnation
     if (target.active && !active) {
       const { job, vm: id, service } = target
@@ -207,7 +207,7 @@
       for (const [key, row] of rows.rows) {
         if (!key.startsWith(vmPrefix(hall))) continue
         const vm = checkedValue(row, vmRowSchema)
-        if (!vm || servesWork(vm)) continue
+        if (!vm || acceptsWork(vm)) continue
         const { id, generation } = vm
         leaving.push({ vm: id, generation, inFlight: counts.get(id) ?? 0 })
       }
--- a/src/fleet/records.ts
+++ b/src/fleet/records.ts
@@ -38,7 +38,7 @@
 export type VmRow = z.infer<typeof vmRowSchema>
 
 /** Whether targets on the VM may be given new work. */
-export function servesWork(vm: VmRow | undefined): boolean {
+export function acceptsWork(vm: VmRow | undefined): boolean {
   return vm?.state === 'active' || vm?.state === 'evacuating'
 }
 
--- a/src/front/__tests__/ownerCalls.spec.ts
+++ b/src/front/__tests__/ownerCalls.spec.ts
@@ -13,7 +13,7 @@
   const registry = {
     self: { id: 'self', life: 'l' },
     ownerOf: () => (owner === undefined ? undefined : { id: owner, address: owner }),
-    async refreshSoon() {
+    async refreshIfStale() {
       refreshes++
       owner = fresh
     },
@@ -83,7 +83,7 @@
     const registry = {
       self: { id: 'self', life: 'l' },
       ownerOf: () => ({ id: 'owner', address: 'owner' }),
-      refreshSoon: async () => undefined,
+      refreshIfStale: async () => undefined,
     } as unknown as NodeRegistry
     const clients = {
       at: () => ({
--- a/src/front/ownerCalls.ts
+++ b/src/front/ownerCalls.ts
@@ -99,7 +99,7 @@
   /** Logs a failed call to an owner, and rereads the rows, which may name another owner by now. */
   function notePeerLost(step: string, service: string, reason: string): void {
     log.event('peerLost', { step, service, reason })
-    void registry.refreshSoon()
+    void registry.refreshIfStale()
   }
 
   /**
@@ -136,7 +136,7 @@
         ? undefined
         : await askAddress(batches, address, service, about)
     if (answer || registry.ownerOf(service)?.id === registry.self.id) return answer
-    await registry.refreshSoon()
+    await registry.refreshIfStale()
     const next = addressFor(service)
     if (next === undefined || next === address) return undefined
     return askAddress(batches, next, service, about)
--- a/src/keeper/budgets.ts
+++ b/src/keeper/budgets.ts
@@ -1,5 +1,5 @@
 /** Counts the unavailable instances of a service and checks its budget. */
-import { servesWork } from '../fleet/index.js'
+import { acceptsWork } from '../fleet/index.js'
 import type { BudgetRow, JobRow, VmRow } from '../fleet/index.js'
 import type { ServiceLine, Table } from '../table/index.js'
 
@@ -50,7 +50,7 @@
   const vms = new Map(input.vms.map((vm) => [vm.id, vm]))
   const available = input.jobs.filter((job) => {
     const vm = vms.get(job.vm)
-    const serves = servesWork(vm) && vm?.incarnation === job.incarnation
+    const serves = acceptsWork(vm) && vm?.incarnation === job.incarnation
     return job.service === service && job.state === 'running' && serves
   }).length
   const missing = Math.max(0, line.instances - available)
--- a/src/keeper/placement.ts
+++ b/src/keeper/placement.ts
@@ -5,7 +5,7 @@
  * most free processors.
  */
 import { nanoid } from 'nanoid'
-import { servesWork } from '../fleet/index.js'
+import { acceptsWork } from '../fleet/index.js'
 import type { JobRow, VmRow } from '../fleet/index.js'
 import { groupBy } from '../shared/index.js'
 import type { ServiceLine, Table } from '../table/index.js'
@@ -261,7 +261,7 @@
   const isServing = (job: JobRow) => {
     const vm = capacities.get(job.vm)?.vm
     const isCurrentIncarnation = vm?.incarnation === job.incarnation
-    return job.state === 'running' && isCurrentIncarnation && servesWork(vm)
+    return job.state === 'running' && isCurrentIncarnation && acceptsWork(vm)
   }
   const dead = displaced.filter((job) => !isServing(job))
   const serving = displaced.filter(isServing)
--- a/src/node/fleetReports.ts
+++ b/src/node/fleetReports.ts
@@ -1,7 +1,7 @@
 /** Reports the services owned by this node to the owner of the fleet, in one loop for all. */
 import type { OwnerCalls } from '../front/index.js'
 import { createStopController, sleep } from '../shared/index.js'
-import { NOTHING_TO_EMPTY, REPORT_MS } from '../vms/index.js'
+import { NO_EVACUATION, REPORT_INTERVAL_MS } from '../vms/index.js'
 import type { OwnerTable } from './ownerTable.js'
 
 /** A running report loop. */
@@ -20,7 +20,7 @@
     const owner = owners.local.service(service)
     if (!owner) return
     // The next owner of the fleet starts without reports, and so evacuates nothing yet.
-    if (!calls.hasFleetOwner()) return owner.evacuate(NOTHING_TO_EMPTY)
+    if (!calls.hasFleetOwner()) return owner.evacuate(NO_EVACUATION)
     const answer = await calls.reportToFleet(owner.report())
     if (answer) owner.evacuate(answer)
   }
@@ -36,7 +36,7 @@
   async function run(): Promise<void> {
     while (!stopping.signal.aborted) {
       await Promise.all(owners.names().map(reportOne))
-      await sleep(REPORT_MS, stopping.signal)
+      await sleep(REPORT_INTERVAL_MS, stopping.signal)
     }
   }
   // Reporting a jump in demand at once saves half of the interval on average, when VMs matter most.
--- a/src/ownership/__tests__/ownership.spec.ts
+++ b/src/ownership/__tests__/ownership.spec.ts
@@ -60,7 +60,7 @@
     while (!node.authorities.has('a')) await sleep(50)
     const former = node.authorities.get('a')!
     table.put(key, '{"holder":"n9","term":"12"}')
-    former.lost('a write was refused')
+    former.markLost('a write was refused')
     await sleep(UNREADABLE_EPOCH_WAIT_MS - 1500)
     t.false(node.authorities.has('a'))
     await sleep(4000)
--- a/src/ownership/authority.ts
+++ b/src/ownership/authority.ts
@@ -30,7 +30,7 @@
   /** Whether the authority is lost for good; one that only lapsed may be confirmed again. */
   isLost(): boolean
   /** Reports that a write or an order was rejected because a newer owner exists. */
-  lost(reason: string): void
+  markLost(reason: string): void
 }
 
 /** Component that runs while this node owns a service. */
@@ -82,6 +82,6 @@
     isConfirmed: () => !owned.lost && now() < owned.confirmedUntil,
     leaseLeftMs: () => (owned.lost ? 0 : owned.confirmedUntil - now()),
     isLost: () => owned.lost,
-    lost,
+    markLost: lost,
   }
 }
--- a/src/ownership/constants.ts
+++ b/src/ownership/constants.ts
@@ -28,7 +28,7 @@
  * owner makes it read at once. At the rate of owners, 44 nodes of which five own something make
  * 68,107 calls in 82 s.
  */
-export const IDLE_PACE_MS = 1000
+export const IDLE_RENEW_MS = 1000
 /**
  * Longest interval between two such reads, in ms: a node may call an owner that was replaced but
  * still answers for this long.
@@ -41,7 +41,7 @@
  */
 export const IDLE_RENEWALS_PER_S = 25
 /** Lease of a node that owns nothing, in multiples of its renewal interval; two may fail. */
-export const IDLE_LEASE_PACES = 3.5
+export const IDLE_LEASE_INTERVALS = 3.5
 /** Delay before a node that owns nothing retries a failed store call, in ms; jittered. */
 export const IDLE_RETRY_MS = 400
 /**
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -5,8 +5,8 @@
 import {
   DEAD_NODE_RETENTION_MS,
   STARTUP_POLL_MS,
-  IDLE_LEASE_PACES,
-  IDLE_PACE_MS,
+  IDLE_LEASE_INTERVALS,
+  IDLE_RENEW_MS,
   IDLE_POLL_MAX_MS,
   IDLE_RENEWALS_PER_S,
   IDLE_RETRY_MS,
@@ -57,7 +57,7 @@
    * Does the same unless the rows were read just now; for callers that did not find an owner where
    * the rows said. Resolves when the read is done.
    */
-  refreshSoon(): Promise<void>
+  refreshIfStale(): Promise<void>
   /** Reads the row of one node now; returns false when the store did not answer. */
   refreshNode(id: string): Promise<boolean>
   /** Time since the rows of the other nodes were first read, in ms; 0 before that. */
@@ -118,7 +118,7 @@
     const sentAt = now()
     const owns = opts.owns()
     const nextLeaseMs =
-      owns.length > 0 ? ownLease.ms() : idleRenewIntervalMs() * IDLE_LEASE_PACES
+      owns.length > 0 ? ownLease.ms() : idleRenewIntervalMs() * IDLE_LEASE_INTERVALS
     const row: NodeRow = {
       life,
       address: opts.address,
@@ -176,7 +176,7 @@
     return true
   }
 
-  async function refreshSoon(): Promise<void> {
+  async function refreshIfStale(): Promise<void> {
     if (!refreshing && now() - pollSentAt <= MIN_REFRESH_INTERVAL_MS) return
     refreshing ??= poll().finally(() => (refreshing = undefined))
     await refreshing
@@ -202,9 +202,9 @@
 
   /** Interval between two renewals while nothing is owned; grows with the number of nodes. */
   function idleRenewIntervalMs(): number {
-    if (isOwnerOrStandby()) return IDLE_PACE_MS
+    if (isOwnerOrStandby()) return IDLE_RENEW_MS
     return Math.max(
-      IDLE_PACE_MS,
+      IDLE_RENEW_MS,
       (membership.members().length / IDLE_RENEWALS_PER_S) * 1000,
     )
   }
@@ -212,7 +212,7 @@
   function renewalDelayMs(done: boolean): number {
     if (isOwner()) return done ? RENEW_MS : STORE_RETRY_MS
     // Based on the written lease: the other nodes treat this node as dead after that one.
-    return done ? leaseMs / IDLE_LEASE_PACES : IDLE_RETRY_MS
+    return done ? leaseMs / IDLE_LEASE_INTERVALS : IDLE_RETRY_MS
   }
 
   async function runRenewals(): Promise<void> {
@@ -263,7 +263,7 @@
       if (row.value) membership.applyRow(row.value)
       return true
     },
-    refreshSoon,
+    refreshIfStale: refreshIfStale,
     msSinceFirstRead: () => (firstReadAt === undefined ? 0 : now() - firstReadAt),
     async stop() {
       stopping.abort()
--- a/src/scheduler/__tests__/ownerTakeover.spec.ts
+++ b/src/scheduler/__tests__/ownerTakeover.spec.ts
@@ -3,7 +3,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
-import { NOTHING_TO_EMPTY } from '../../vms/index.js'
+import { NO_EVACUATION } from '../../vms/index.js'
 
 const failIfCalled = (): never => {
   throw new Error('not used in this test')
@@ -45,7 +45,7 @@
       rig.submit(owner, job)
       await sleep(400)
       t.deepEqual(rig.ledger.entries, [])
-      owner.evacuate(NOTHING_TO_EMPTY)
+      owner.evacuate(NO_EVACUATION)
       t.true(await rig.settled([job], 1000))
       await rig.stop()
     })
@@ -75,7 +75,7 @@
     const lost = rig.addTarget('t1')
     rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
     const owner = await rig.own()
-    owner.evacuate(NOTHING_TO_EMPTY)
+    owner.evacuate(NO_EVACUATION)
     rig.submit(owner, makeJob({ ms: 0, cpu: 400 }, [{ count: 1 }]))
     await sleep(300)
     lost.crash()
--- a/src/scheduler/epochCommit.ts
+++ b/src/scheduler/epochCommit.ts
@@ -17,7 +17,8 @@
   const res = await store.commit({ conditions: [authority.epoch()], ...change })
   return res.map((commit) => {
     if (commit.committed) return true
-    if (!authority.adoptEpoch(commit.current)) authority.lost('the epoch row has changed')
+    if (!authority.adoptEpoch(commit.current))
+      authority.markLost('the epoch row has changed')
     return false
   })
 }
--- a/src/scheduler/orderSender.ts
+++ b/src/scheduler/orderSender.ts
@@ -173,7 +173,7 @@
   }
 
   const refusalHandlers: Record<StartRefusal, (task: Task) => void> = {
-    fenced: () => authority.lost('a target has seen a higher fencing token'),
+    fenced: () => authority.markLost('a target has seen a higher fencing token'),
     superseded: () => undefined,
     expired: () => undefined,
     full: () => opts.pause(FULL_PAUSE_MS),
--- a/src/scheduler/progressWriter.ts
+++ b/src/scheduler/progressWriter.ts
@@ -119,7 +119,7 @@
         settleAll(jobs, outcomes)
         return true
       } else if (!adoptVersions(jobs, res.value.current)) {
-        authority.lost('the epoch row has changed')
+        authority.markLost('the epoch row has changed')
         return false
       } else if (isStored(puts, res.value.current)) {
         settleAll(jobs, outcomes)
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -254,7 +254,8 @@
    * the token since the call was sent.
    */
   function noteFenced(sentToken: number): void {
-    if (sentToken === token()) authority.lost('a target has seen a higher fencing token')
+    if (sentToken === token())
+      authority.markLost('a target has seen a higher fencing token')
   }
 
   async function syncOnce(waitMs: number): Promise<boolean> {
--- a/src/vms/__tests__/fleetOwner.spec.ts
+++ b/src/vms/__tests__/fleetOwner.spec.ts
@@ -71,7 +71,7 @@
     isLost: () => false,
     leaseLeftMs: () => Infinity,
     isConfirmed: () => state.confirmed,
-    lost: () => undefined,
+    markLost: () => undefined,
   }
   const services = new Map(
     ['a', 'b', 'idle'].map((name) => [
--- a/src/vms/constants.ts
+++ b/src/vms/constants.ts
@@ -8,7 +8,7 @@
  */
 export const MIN_ROUND_INTERVAL_MS = 25
 /** Interval between two reports of a service's owner. */
-export const REPORT_MS = 150
+export const REPORT_INTERVAL_MS = 150
 /** Reports older than this are ignored: at least four later ones were lost. */
 export const REPORT_STALE_MS = 1500
 /** Interval between two reads of the list of VMs while nothing changes. */
--- a/src/vms/types.ts
+++ b/src/vms/types.ts
@@ -49,4 +49,4 @@
 export type FleetAnswer = z.infer<typeof fleetAnswerSchema>
 
 /** Answer that empties no target and opens all of them. */
-export const NOTHING_TO_EMPTY: FleetAnswer = { evacuate: [], hurry: [], ended: [] }
+export const NO_EVACUATION: FleetAnswer = { evacuate: [], hurry: [], ended: [] }
--- a/src/vms/vmOrders.ts
+++ b/src/vms/vmOrders.ts
@@ -61,7 +61,7 @@
     const answer = res.isOk() ? res.value : undefined
     const reason = res.isErr() ? describeError(res.error) : ''
     log.event('vmOrdered', { vm: vm.name, from: vm.pool, ...order, answer, reason })
-    if (answer === 'fenced') authority.lost('the cloud has seen a newer owner')
+    if (answer === 'fenced') authority.markLost('the cloud has seen a newer owner')
     // An order without an answer stays pending: it may have been carried out.
     if (answer !== undefined && answer !== 'accepted') pending.delete(vm.name)
     return answer
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -225,7 +225,7 @@
         isConfirmed: () => state.live && state.confirmed,
         leaseLeftMs: () => (state.live && state.confirmed ? Infinity : 0),
         isLost: () => state.lostBecause !== undefined,
-        lost(reason) {
+        markLost(reason) {
           state.live = false
           state.lostBecause ??= reason
         },
