--- a/src/directory/configurationHolder.ts
+++ b/src/directory/configurationHolder.ts
@@ -79,7 +79,7 @@
     store: opts.store,
     table: documents.table,
     part: '',
-    waitMs: LONG_POLL_MS,
+    longPollMs: LONG_POLL_MS,
     pauseMs: 0,
     log,
     onRow(_part, key, value) {
--- a/src/directory/rowMirror.ts
+++ b/src/directory/rowMirror.ts
@@ -25,7 +25,7 @@
   /** Time up to which the copy is known to be complete, in ms of the monotonic clock. */
   freshAt(): number
   /** Time since which the table has been read without a gap, in ms of the monotonic clock. */
-  steadySince(): number
+  gapFreeSince(): number
   stop(): Promise<void>
 }
 
@@ -38,7 +38,7 @@
   /** Version from which to follow changes, if there is no full read. */
   after?: number
   /** Longest time that the store waits for a change before it answers, in ms. */
-  waitMs: number
+  longPollMs: number
   /** Pause between two reads, in ms. */
   pauseMs: number
   log: Logger
@@ -50,7 +50,7 @@
    * Called if the history is compacted and there is no full read. The caller reads the rows itself
    * and returns the version from which to continue; undefined if that failed.
    */
-  onGap?(): Promise<number | undefined>
+  onCompacted?(): Promise<number | undefined>
 }
 
 /** Starts copying. */
@@ -80,7 +80,7 @@
 
   async function readAll(): Promise<boolean> {
     if (part === undefined) {
-      version = await opts.onGap?.()
+      version = await opts.onCompacted?.()
       skipPause = version !== undefined
       return skipPause
     }
@@ -99,7 +99,7 @@
   }
 
   async function readChanges(after: number): Promise<boolean> {
-    const res = await store.changes(table, after, opts.waitMs)
+    const res = await store.changes(table, after, opts.longPollMs)
     if (res.isErr()) {
       noteFailure(describeError(res.error))
       skipPause = res.error.failure === 'compacted'
@@ -136,7 +136,7 @@
   return {
     ready,
     freshAt: () => freshAt,
-    steadySince: () => steadySince,
+    gapFreeSince: () => steadySince,
     async stop() {
       stopping.abort()
       await task
--- a/src/directory/targetList.ts
+++ b/src/directory/targetList.ts
@@ -23,7 +23,7 @@
   /** Time up to which the list is known to be complete, in ms of the monotonic clock. */
   freshAt(): number
   /** Time since which the list has been read without a gap, in ms of the monotonic clock. */
-  steadySince(): number
+  gapFreeSince(): number
   /**
    * Time since which the entry of a target cannot be read, in ms of the monotonic clock; undefined
    * if the entry can be read or does not exist.
@@ -93,7 +93,7 @@
     store: opts.store,
     table: opts.documents.table,
     part: '',
-    waitMs: LONG_POLL_MS,
+    longPollMs: LONG_POLL_MS,
     pauseMs: READ_PAUSE_MS,
     log: opts.log,
     onRow(_part, id, value) {
@@ -108,7 +108,7 @@
     ready: mirror.ready,
     byId: () => targets,
     freshAt: mirror.freshAt,
-    steadySince: mirror.steadySince,
+    gapFreeSince: mirror.gapFreeSince,
     unreadableSince: (id) => unreadable.get(id),
     subscribe(listener) {
       listeners.add(listener)
--- a/src/jobs/jobBook.ts
+++ b/src/jobs/jobBook.ts
@@ -21,13 +21,13 @@
   /** Wall clock, in ms since 1970. */
   wallMs(): number
   /** Called when a job's progress has changed and its row must be written. */
-  changed(job: Job): void
+  progressChanged(job: Job): void
   /** Called when a placed run of the task is no longer needed and must be stopped. */
-  dropped(task: Task): void
+  runUnwanted(task: Task): void
   /** Called when tasks may have become startable. */
   wake(): void
   /** Called when a job reaches its outcome, before the outcome is durable. */
-  ended(job: Job, outcome: JobOutcome, cause: string): void
+  outcomeReached(job: Job, outcome: JobOutcome, cause: string): void
 }
 
 /** The jobs of one service. */
@@ -48,16 +48,16 @@
   /** Cancels a job; returns undefined if it is not in the book. */
   cancel(id: string): Job | undefined
   /** Lets the tasks of one job, or of all, start: the runs of the previous owner are known now. */
-  openGate(only?: Job): void
+  allowStarts(only?: Job): void
   /** Keeps reported ends of a job that exists but cannot be added yet, until it is added. */
-  hold(id: string): void
+  holdEnds(id: string): void
   /** Stops holding a job; returns the ends that were kept. */
-  release(id: string): HeldEnd[]
+  releaseEnds(id: string): HeldEnd[]
   /**
    * Whether jobs may exist that are not in the book, because not all rows have been read.
    * Meanwhile every job that is not in the book counts as held.
    */
-  mayMissJobs: boolean
+  mayLackJobs: boolean
   /** Whether the job of the task is held. */
   isHeld(task: string): boolean
   /** Marks occurrences that have become due; returns the time until the next one, in ms. */
@@ -146,10 +146,10 @@
     jobsNotFullyDue.delete(job)
     for (const task of tasksOf(job)) {
       ready.delete(task)
-      if (task.phase === 'placed') opts.dropped(task)
+      if (task.phase === 'placed') opts.runUnwanted(task)
     }
-    opts.ended(job, outcome, cause)
-    opts.changed(job)
+    opts.outcomeReached(job, outcome, cause)
+    opts.progressChanged(job)
   }
 
   const markDone = (task: Task): void => {
@@ -171,7 +171,7 @@
   /** Fails the task and its job because of a run of the task. */
   const failJob = (task: Task, run: number, cause: string): void => {
     // The end of an earlier run may use up the attempts while a later run is on another target.
-    if (task.phase === 'placed' && task.run !== run) opts.dropped(task)
+    if (task.phase === 'placed' && task.run !== run) opts.runUnwanted(task)
     countUnplaced(task)
     task.phase = 'failed'
     finish(task.step.job, 'failed', cause)
@@ -231,7 +231,8 @@
       open.add(job)
       jobsNotFullyDue.add(job)
       book.markDue()
-      for (const { targetId, end } of book.release(spec.id)) book.applyEnd(targetId, end)
+      for (const { targetId, end } of book.releaseEnds(spec.id))
+        book.applyEnd(targetId, end)
       return job
     },
     cancel(id) {
@@ -241,7 +242,7 @@
       finish(job, 'cancelled', 'cancelled by the caller')
       return job
     },
-    openGate(only) {
+    allowStarts(only) {
       for (const job of only ? [only] : jobs.values()) {
         if (!job.gated) continue
         job.gated = false
@@ -250,21 +251,21 @@
       }
       opts.wake()
     },
-    hold(id) {
+    holdEnds(id) {
       if (jobs.has(id) || heldEnds.has(id)) return
       heldEnds.set(id, unmatchedEnds.get(id) ?? [])
       unmatchedEnds.delete(id)
     },
-    release(id) {
+    releaseEnds(id) {
       const ends = [...(heldEnds.get(id) ?? []), ...(unmatchedEnds.get(id) ?? [])]
       heldEnds.delete(id)
       unmatchedEnds.delete(id)
       return ends
     },
-    get mayMissJobs() {
+    get mayLackJobs() {
       return mayMissJobs
     },
-    set mayMissJobs(may) {
+    set mayLackJobs(may) {
       mayMissJobs = may
       if (!may) unmatchedEnds.clear()
     },
@@ -314,9 +315,9 @@
       if (NON_CRASH_ENDS.has(end.kind)) book.noteUptime(task, Infinity)
       // A run that completes the task counts even if another run has been placed since.
       if (end.kind === 'done' && !task.step.spec.lasting) {
-        if (task.phase === 'placed' && task.targetId !== targetId) opts.dropped(task)
+        if (task.phase === 'placed' && task.targetId !== targetId) opts.runUnwanted(task)
         END_HANDLERS.done(task)
-        opts.changed(task.step.job)
+        opts.progressChanged(task.step.job)
         return task
       }
       const present = task.phase === 'placed' && task.targetId === targetId
@@ -324,7 +325,7 @@
       if (end.kind === 'failed') countFailure(task, end.run)
       if (task.step.job.outcome) return task
       if (present && end.run === task.run) END_HANDLERS[end.kind](task)
-      opts.changed(task.step.job)
+      opts.progressChanged(task.step.job)
       opts.wake()
       return task
     },
@@ -338,7 +339,7 @@
       if (job.outcome || task.phase === 'done') return
       const isAtLimit = addCrash(task, run, role)
       if (isAtLimit) failJob(task, run, `${task.name} crashed its targets`)
-      else opts.changed(job)
+      else opts.progressChanged(job)
     },
     noteUptime(task, ms) {
       if (noteUptime(task, ms)) opts.wake()
--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -39,10 +39,10 @@
     rulesOf: () => ({ maxAttempts: QUEUE.maxAttempts }),
     now: () => performance.now(),
     wallMs: Date.now,
-    changed: noop,
-    dropped: (task) => stop(task),
+    progressChanged: noop,
+    runUnwanted: (task) => stop(task),
     wake: noop,
-    ended: noop,
+    outcomeReached: noop,
   })
   const link = {
     async start({ task }: { task: string }) {
--- a/src/scheduler/heldJobs.ts
+++ b/src/scheduler/heldJobs.ts
@@ -106,7 +106,7 @@
     for (const [job, at] of gateOpensAt) {
       if (monotonicMs() < at) continue
       gateOpensAt.delete(job)
-      book.openGate(job)
+      book.allowStarts(job)
     }
   }
 
@@ -129,7 +129,7 @@
   return {
     hold(id, spec) {
       held.set(id, spec)
-      book.hold(id)
+      book.holdEnds(id)
       if (spec) log.event('jobHeld', { job: id, queue: spec.queue, service })
     },
     updateSpec(spec) {
@@ -140,14 +140,14 @@
     cancel(id) {
       const spec = held.get(id)
       held.delete(id)
-      book.release(id)
+      book.releaseEnds(id)
       if (!spec) return false
       book.add(spec)
       book.cancel(id)
       return true
     },
     drop(id) {
-      if (held.delete(id)) book.release(id)
+      if (held.delete(id)) book.releaseEnds(id)
     },
     async stop() {
       stopping.abort()
--- a/src/scheduler/inheritedJobs.ts
+++ b/src/scheduler/inheritedJobs.ts
@@ -54,10 +54,10 @@
   const seenIds = new Set<string>()
   let batch: Job[] = []
   let isComplete = false
-  book.mayMissJobs = true
+  book.mayLackJobs = true
 
   return {
-    isKnown: () => !book.mayMissJobs,
+    isKnown: () => !book.mayLackJobs,
     isComplete: () => isComplete,
     isInherited({ id, acceptedAtMs }) {
       if (isComplete) return false
@@ -81,7 +81,7 @@
       opts.adopted(batch)
       batch = []
     },
-    markKnown: () => void (book.mayMissJobs = false),
+    markKnown: () => void (book.mayLackJobs = false),
     markComplete() {
       if (isComplete) return
       isComplete = true
--- a/src/scheduler/leavingTargets.ts
+++ b/src/scheduler/leavingTargets.ts
@@ -44,6 +44,6 @@
  */
 function isGoneFromList(agent: TargetAgent, targets: TargetList): boolean {
   const unreadableSince = targets.unreadableSince(agent.target.id) ?? -Infinity
-  const since = Math.max(targets.steadySince(), unreadableSince)
+  const since = Math.max(targets.gapFreeSince(), unreadableSince)
   return !agent.listed && monotonicMs() - since > MIN_STEADY_LIST_MS
 }
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -339,11 +339,11 @@
         table: INTAKE_TABLE,
         part: undefined,
         after: version,
-        waitMs: 0,
+        longPollMs: 0,
         pauseMs: INTAKE_POLL_MS,
         log,
         onRow: applyRow,
-        onGap: restartFullRead,
+        onCompacted: restartFullRead,
       })
       mirror = changes
       return {
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -134,10 +134,10 @@
     },
     now: monotonicMs,
     wallMs: Date.now,
-    changed: progress.markDirty,
-    dropped: (task) => agents.get(task.targetId ?? '')?.stop(task.name),
+    progressChanged: progress.markDirty,
+    runUnwanted: (task) => agents.get(task.targetId ?? '')?.stop(task.name),
     wake,
-    ended: (job, outcome, cause) =>
+    outcomeReached: (job, outcome, cause) =>
       log.event('jobEnded', {
         job: job.spec.id,
         queue: job.spec.queue,
@@ -288,7 +288,7 @@
     if (gateOpen || !allAgents().every((agent) => agent.isStateKnown())) return
     gateOpen = true
     log.event('takeoverDone', { service, term: authority.term, targets: agents.size })
-    book.openGate()
+    book.allowStarts()
   }
 
   function plan(): void {
--- a/src/scheduler/targetFollower.ts
+++ b/src/scheduler/targetFollower.ts
@@ -174,7 +174,7 @@
     log.event('targetUnlisted', {
       target: agent.target.id,
       runs: agent.placements.size,
-      listSteadyMs: Math.round(monotonicMs() - targets.steadySince()),
+      listSteadyMs: Math.round(monotonicMs() - targets.gapFreeSince()),
     })
   }
 
--- a/src/scheduler/targetRuns.ts
+++ b/src/scheduler/targetRuns.ts
@@ -170,7 +170,7 @@
     for (const end of [...report.ends].sort((a, b) => a.seq - b.seq)) {
       if (end.seq <= lastEndSeq) continue
       lastEndSeq = end.seq
-      if (book.mayMissJobs && book.isHeld(end.task)) unreadEnds.push(end)
+      if (book.mayLackJobs && book.isHeld(end.task)) unreadEnds.push(end)
       const placement = placements.get(end.task)
       if (placement && placement.run <= end.run) remove(placement)
       noteUnheardDelay(end.task, silentMs)
@@ -268,7 +268,7 @@
     room,
     lastEndSeq: () => lastEndSeq,
     ackableEndSeq() {
-      unreadEnds = unreadEnds.filter(({ task }) => book.mayMissJobs && book.isHeld(task))
+      unreadEnds = unreadEnds.filter(({ task }) => book.mayLackJobs && book.isHeld(task))
       const [first] = unreadEnds
       return first ? first.seq - 1 : lastEndSeq
     },
--- a/src/storeAccess/__tests__/pageSize.spec.ts
+++ b/src/storeAccess/__tests__/pageSize.spec.ts
@@ -6,12 +6,12 @@
   const sizes = createPageSizes()
   const times: number[] = []
   for (let page = 0; page < 12; page++) {
-    const rows = sizes.rowsOf('t')
+    const rows = sizes.nextPageRows('t')
     const tookMs = latencyMs + (rows * bytesPerRow) / bytesPerMs
     sizes.note('t', rows, tookMs)
     times.push(tookMs)
   }
-  return { rows: sizes.rowsOf('t'), times }
+  return { rows: sizes.nextPageRows('t'), times }
 }
 
 describe('createPageSizes', () => {
@@ -30,13 +30,13 @@
   it('does not grow after a page that was not full', (t) => {
     const sizes = createPageSizes()
     sizes.note('t', 1, 5)
-    t.is(sizes.rowsOf('t'), 16)
+    t.is(sizes.nextPageRows('t'), 16)
   })
 
   it('adapts each table separately, and never asks for fewer than four rows', (t) => {
     const sizes = createPageSizes()
     for (let each = 0; each < 5; each++) sizes.note('t', 16, 60_000)
-    t.is(sizes.rowsOf('t'), 4)
-    t.is(sizes.rowsOf('other'), 16)
+    t.is(sizes.nextPageRows('t'), 4)
+    t.is(sizes.nextPageRows('other'), 16)
   })
 })
--- a/src/storeAccess/pageSize.ts
+++ b/src/storeAccess/pageSize.ts
@@ -18,7 +18,7 @@
 /** Page sizes by table; each page adjusts the size of the next one. */
 export interface PageSizes {
   /** Number of rows to ask for in the next page of a table. */
-  rowsOf(table: string): number
+  nextPageRows(table: string): number
   /** Records the number of rows of a page and the time that it took, in ms. */
   note(table: string, rows: number, tookMs: number): void
 }
@@ -28,7 +28,7 @@
   const sizes = new Map<string, number>()
   const rowsOf = (table: string): number => sizes.get(table) ?? FIRST_PAGE_ROWS
   return {
-    rowsOf,
+    nextPageRows: rowsOf,
     note(table, rows, tookMs) {
       const size = rowsOf(table)
       // A quick short page does not show that a full page would be quick too.
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -23,8 +23,8 @@
     rulesOf: () => ({ maxAttempts: 1 }),
     now: () => 0,
     wallMs: () => 0,
-    changed: () => undefined,
-    dropped: () => undefined,
+    progressChanged: () => undefined,
+    runUnwanted: () => undefined,
     wake: () => undefined,
-    ended: () => undefined,
+    outcomeReached: () => undefined,
   })
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -146,7 +146,7 @@
     ready: Promise.resolve(),
     byId: () => listed,
     freshAt: () => performance.now(),
-    steadySince: () => rig.listSteadySince,
+    gapFreeSince: () => rig.listSteadySince,
     unreadableSince: () => undefined,
     subscribe(listener) {
       listeners.add(listener)
