--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -5,7 +5,7 @@
  */
 import { startCluster } from '../playground/cluster.js'
 import {
-  countJobs,
+  countJobsByVm,
   maintainedVms,
   planJobs,
   planPools,
@@ -61,7 +61,7 @@
         log,
       })
       const input = waveInput(state)
-      const counts = countJobs(input.jobs)
+      const counts = countJobsByVm(input.jobs)
       planPools(state.table, input.vms, (vm) => counts.get(vm) ?? 0, poolsInWave(input))
       planWaves(input)
       const extra = { maintained: maintainedVms(input), inWave: poolsInWave(input) }
--- a/src/cli/draftCommands.ts
+++ b/src/cli/draftCommands.ts
@@ -2,12 +2,12 @@
 import { Option } from 'clipanion'
 import { EXIT } from '../shared/index.js'
 import {
-  KINDS,
+  LINE_KINDS,
   WHOLE_LINE,
   applyEdits,
   columnsOf,
   diffTables,
-  splitRow,
+  splitLineKey,
 } from '../table/index.js'
 import type { CellEdit, RawTable } from '../table/index.js'
 import { PlatformCommand, unwrap, formatCell } from './base.js'
@@ -34,14 +34,14 @@
   }
 
   private describe(raw: RawTable, view: { head: { epoch: number } | undefined }): string {
-    const parts = KINDS.flatMap((kind) => {
+    const parts = LINE_KINDS.flatMap((kind) => {
       const columns = columnsOf(kind)
-      const rows = Object.keys(raw).filter((row) => splitRow(row)?.kind === kind)
+      const rows = Object.keys(raw).filter((row) => splitLineKey(row)?.kind === kind)
       if (rows.length === 0) return []
       const lines = rows
         .sort()
         .map((row) => [
-          splitRow(row)!.name,
+          splitLineKey(row)!.name,
           ...columns.map((column) => raw[row]?.[column] ?? '-'),
         ])
       return [this.formatTable([kind, ...columns], lines)]
@@ -62,7 +62,7 @@
   cells = Option.Rest({ required: 2 })
 
   async run({ store, editor }: Session): Promise<number> {
-    const parts = splitRow(this.row)
+    const parts = splitLineKey(this.row)
     if (!parts)
       return this.fail(
         `'${this.row}' is not of the form pool/NAME, service/NAME or wave/NAME`,
--- a/src/keeper/keeper.ts
+++ b/src/keeper/keeper.ts
@@ -29,7 +29,13 @@
 import type { JobDecision } from './placement.js'
 import { planPools } from './pools.js'
 import { registerVms } from './registration.js'
-import { countJobs, maintainedVms, planWaves, poolsInWave, waveInput } from './waves.js'
+import {
+  countJobsByVm,
+  maintainedVms,
+  planWaves,
+  poolsInWave,
+  waveInput,
+} from './waves.js'
 
 /** Backoff after a failed start of a service's instance; it doubles with each failure. */
 const START_BACKOFF_INITIAL_MS = 5000
@@ -139,7 +145,7 @@
 
   async function startPoolMoves(fence: number, state: FleetState): Promise<void> {
     const input = waveInput(state)
-    const counts = countJobs(input.jobs)
+    const counts = countJobsByVm(input.jobs)
     const count = (vm: string) => counts.get(vm) ?? 0
     for (const move of planPools(state.table, input.vms, count, poolsInWave(input))) {
       const latest = ctx.state()
--- a/src/keeper/placement.ts
+++ b/src/keeper/placement.ts
@@ -9,7 +9,7 @@
 import type { JobRow, VmRow } from '../fleet/index.js'
 import { groupBy } from '../shared/index.js'
 import type { ServiceLine, Table } from '../table/index.js'
-import { countJobs } from './waves.js'
+import { countJobsByVm } from './waves.js'
 
 /** One decision about jobs. */
 export type JobDecision =
@@ -241,7 +241,7 @@
 
 /** Returns the last of the jobs whose VM has the most of them. */
 function jobOnFullestVm(jobs: readonly JobRow[]): JobRow {
-  const counts = countJobs(jobs)
+  const counts = countJobsByVm(jobs)
   const count = (job: JobRow) => counts.get(job.vm) ?? 0
   return jobs.reduce((best, job) => (count(job) >= count(best) ? job : best))
 }
--- a/src/keeper/waves.ts
+++ b/src/keeper/waves.ts
@@ -86,7 +86,7 @@
   const candidates = remaining.filter(
     (vm) => vm.state === 'active' && vm.operation === undefined && !chosenVms.has(vm.id),
   )
-  const counts = countJobs(input.jobs)
+  const counts = countJobsByVm(input.jobs)
   const count = (vm: VmRow) => counts.get(vm.id) ?? 0
   candidates.sort((a, b) => count(a) - count(b) || (a.id < b.id ? -1 : 1))
   const next = candidates[0]
@@ -98,7 +98,7 @@
 }
 
 /** Number of jobs by VM. */
-export function countJobs(jobs: readonly JobRow[]): Map<string, number> {
+export function countJobsByVm(jobs: readonly JobRow[]): Map<string, number> {
   const counts = new Map<string, number>()
   for (const { vm } of jobs) counts.set(vm, (counts.get(vm) ?? 0) + 1)
   return counts
--- a/src/peer/network.ts
+++ b/src/peer/network.ts
@@ -10,7 +10,7 @@
 import type { Platform, RowWatch } from '../platform/index.js'
 import { createStopController, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger, Metrics } from '../shared/index.js'
-import { readPlatformTable } from '../table/index.js'
+import { offerPlatformTable } from '../table/index.js'
 import type { TableHolder } from '../table/index.js'
 import {
   CALL_TIMEOUT_MS,
@@ -147,7 +147,7 @@
 
   /** Fetches a newer table from the platform or, if that fails, from the peer. */
   async function fetchNewerTable(peer: Peer, epoch: number): Promise<void> {
-    await readPlatformTable(opts.platform, table)
+    await offerPlatformTable(opts.platform, table)
     if (epoch <= sharing.epoch()) return
     await call(peer, 'fetchTable', (options) => sharing.fetchTable(peer.client, options))
   }
--- a/src/table/__tests__/table.spec.ts
+++ b/src/table/__tests__/table.spec.ts
@@ -3,7 +3,7 @@
 import { describe, it } from '../../../test/describe.js'
 import { createMemoryLogger } from '../../shared/index.js'
 import {
-  KINDS,
+  LINE_KINDS,
   applyEdits,
   checkTable,
   columnsOf,
@@ -211,7 +211,7 @@
 describe('docs/table.md', () => {
   it('describes every column of every kind of line', (t) => {
     const page = readFileSync('docs/table.md', 'utf8')
-    for (const kind of KINDS) {
+    for (const kind of LINE_KINDS) {
       const part = page.split(`## ${kind}`)[1]?.split('\n## ')[0] ?? ''
       const listed = [...part.matchAll(/^\| `(\w+)` +\|/gm)].map(([, column]) => column!)
       t.deepEqual(listed, columnsOf(kind), kind)
--- a/src/table/csv.ts
+++ b/src/table/csv.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow'
 import type { Result } from 'neverthrow'
 import { TableError, describeError } from '../shared/index.js'
-import { allColumns, splitRow } from './schema.js'
+import { allColumns, splitLineKey } from './schema.js'
 import type { RawTable } from './schema.js'
 
 const KEY_COLUMNS = ['kind', 'name']
@@ -15,7 +15,7 @@
   const lines = Object.keys(table)
     .sort()
     .map((row) => {
-      const { kind, name } = splitRow(row) ?? { kind: row, name: '' }
+      const { kind, name } = splitLineKey(row) ?? { kind: row, name: '' }
       return [kind, name, ...columns.map((column) => table[row]?.[column] ?? '')]
     })
   return stringify([[...KEY_COLUMNS, ...columns], ...lines])
@@ -45,7 +45,7 @@
     const cells = Object.fromEntries(heading.map((column, i) => [column, line[i] ?? '']))
     const row = `${cells['kind']}/${cells['name']}`
     const position = `line ${index + 2}`
-    if (!splitRow(row))
+    if (!splitLineKey(row))
       return importError(`${position}: '${row}' is not a pool, service or wave`)
     if (table[row]) return importError(`${position}: '${row}' stands twice`)
     const filledCells = Object.entries(cells).filter(
--- a/src/table/feed.ts
+++ b/src/table/feed.ts
@@ -5,7 +5,7 @@
 import { HEAD_KEY, acceptedSchema, headSchema, tableKey } from './records.js'
 
 /** Reads the head from the platform and offers the table that it names. */
-export async function readPlatformTable(
+export async function offerPlatformTable(
   platform: Platform,
   table: TableHolder,
 ): Promise<void> {
--- a/src/table/schema.ts
+++ b/src/table/schema.ts
@@ -7,8 +7,8 @@
 import { z } from 'zod'
 
 /** Kinds of lines. */
-export const KINDS = ['pool', 'service', 'wave'] as const
-export type LineKind = (typeof KINDS)[number]
+export const LINE_KINDS = ['pool', 'service', 'wave'] as const
+export type LineKind = (typeof LINE_KINDS)[number]
 
 /** Pool of the VMs of a hall that are in no other pool. It has no line in the table. */
 export const RESERVE_POOL = 'reserve'
@@ -117,13 +117,13 @@
 
 /** All columns of all kinds, in the order of an exported sheet. */
 export function allColumns(): string[] {
-  return [...new Set(KINDS.flatMap(columnsOf))]
+  return [...new Set(LINE_KINDS.flatMap(columnsOf))]
 }
 
 /** Splits `kind/name`; undefined if the kind is unknown or the name is invalid. */
-export function splitRow(row: string): { kind: LineKind; name: string } | undefined {
+export function splitLineKey(row: string): { kind: LineKind; name: string } | undefined {
   const at = row.indexOf('/')
-  const kind = KINDS.find((each) => each === row.slice(0, at))
+  const kind = LINE_KINDS.find((each) => each === row.slice(0, at))
   const name = row.slice(at + 1)
   return kind && NAME_PATTERN.test(name) ? { kind, name } : undefined
 }
@@ -143,7 +143,7 @@
   row: string,
   cells: Record<string, string>,
 ): void {
-  const parts = splitRow(row)
+  const parts = splitLineKey(row)
   if (!parts) {
     const rule = `pool, service or wave, a slash, and a name of a-z, 0-9 and dashes`
     errors.push({ row, column: 'name', value: row, rule })
@@ -170,7 +170,7 @@
   issue: z.core.$ZodIssue,
 ): CellError[] {
   if (issue.code === 'unrecognized_keys') {
-    const kind = splitRow(row)?.kind ?? 'pool'
+    const kind = splitLineKey(row)?.kind ?? 'pool'
     const rule = `empty: a ${kind} has only ${columnsOf(kind).join(', ')}`
     return issue.keys.map((column) => ({ row, column, value: cells[column] ?? '', rule }))
   }
