--- a/src/entry/__tests__/once.spec.ts
+++ b/src/entry/__tests__/once.spec.ts
@@ -66,7 +66,7 @@
       entries: ENTRIES,
       peers: peersOf(id),
       memoryMs: MEMORY_MS,
-      firstLife: life === 1,
+      isFirstLife: life === 1,
       isReached: (peer) => nodes.has(peer) && !cut.has(linkOf(id, peer)),
       isGone: (peer) => gone.has(peer),
       now: () => now,
@@ -83,7 +83,7 @@
     events: () => [...new Set(log.events.map(({ name }) => name))],
     kill: boot,
     async stopAndStart(id: string) {
-      await nodes.get(id)!.leave()
+      await nodes.get(id)!.handOverClaims()
       boot(id)
     },
     toggleLink(x: string, y: string) {
@@ -171,7 +171,7 @@
             await cluster.node(step.at).end(step.id, step.ends)
           } else if (step.kind === 'lose') cluster.setLoseReplies(step.lose)
           else if (step.kind === 'later') cluster.advance(20_000)
-          else if (step.kind === 'leave') await cluster.node(step.at).leave()
+          else if (step.kind === 'leave') await cluster.node(step.at).handOverClaims()
           else if (step.kind === 'link') cluster.toggleLink(step.at, step.to)
           else if (step.kind === 'kill') cluster.kill(step.at)
           else if (step.kind === 'replace') await cluster.stopAndStart(step.at)
@@ -210,7 +210,7 @@
       await cluster.node('a1').begin(PLAIN, newToken())
       await cluster.node('a1').end(PLAIN, 'answered')
       for (const id of ['a1', 'a2', 'a3', 'a1']) {
-        await cluster.node(id).leave()
+        await cluster.node(id).handOverClaims()
         for (const at of ['b1', 'b2'])
           t.is((await cluster.node(at).begin(PLAIN, newToken())).kind, 'repeat')
         cluster.kill(id)
@@ -247,7 +247,7 @@
     cluster.setLoseReplies(true)
     t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'unsure')
     cluster.setLoseReplies(false)
-    await cluster.node(owner).leave()
+    await cluster.node(owner).handOverClaims()
     cluster.advance(1000)
     t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'first')
     t.is((await cluster.node('b2').begin(PLAIN, 'other')).kind, 'repeat')
@@ -257,11 +257,11 @@
     it('are logged by the entry that could not hand them over', async (t) => {
       const cluster = createCluster()
       cluster.setLoseReplies(true)
-      await cluster.node('a1').leave()
+      await cluster.node('a1').handOverClaims()
       t.deepEqual(cluster.events(), ['onceMemoryNotLeft'])
       const alone = createCluster()
       alone.cutOff('a1')
-      await alone.node('a1').leave()
+      await alone.node('a1').handOverClaims()
       t.deepEqual(alone.events(), ['onceMemoryNotLeft'])
     })
 
@@ -289,7 +289,7 @@
     async function cutOffFromSuccessor() {
       const cluster = createCluster()
       const owner = ownerOf(DATED, ENTRIES)
-      await cluster.node(owner).leave()
+      await cluster.node(owner).handOverClaims()
       cluster.cutOff(owner)
       cluster.kill(owner)
       await cluster.node(owner).recover()
@@ -338,7 +338,7 @@
     it('is granted by the stand-in for an owner that is being replaced', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
       const cluster = createCluster()
-      await cluster.node(owner).leave()
+      await cluster.node(owner).handOverClaims()
       t.is((await cluster.node('b1').begin(PLAIN, newToken())).kind, 'first')
       cluster.kill(owner)
       await cluster.node(owner).recover()
@@ -348,7 +348,7 @@
     it('may be claimed again while the claims return to the owner', async (t) => {
       const owner = ownerOf(PLAIN, ENTRIES)
       const cluster = createCluster()
-      await cluster.node(owner).leave()
+      await cluster.node(owner).handOverClaims()
       t.is((await cluster.node('b1').begin(PLAIN, 'mine')).kind, 'first')
       // The next life has recovered its claims, but does not answer yet.
       cluster.kill(owner)
--- a/src/entry/once.ts
+++ b/src/entry/once.ts
@@ -21,7 +21,7 @@
   | { kind: 'unsure'; reason: string; standIn: boolean }
 
 /** Claims that an entry handed over when it stopped as planned. */
-export interface Legacy {
+export interface ClaimHandover {
   claims: ClaimRecord[]
   /** Whether no claim is missing; false when none were handed over to this entry. */
   complete: boolean
@@ -35,8 +35,8 @@
   claim(peer: string, id: string, owner: string, token: string): Promise<Verdict>
   settle(peer: string, id: string, state: ClaimState | 'not-run'): Promise<void>
   /** Takes back the claims that an earlier life of this entry handed over to the peer. */
-  collect(peer: string): Promise<Legacy>
-  handOver(peer: string, legacy: Legacy): Promise<void>
+  collect(peer: string): Promise<ClaimHandover>
+  handOver(peer: string, legacy: ClaimHandover): Promise<void>
 }
 
 /** Options of {@link createOnce}. */
@@ -48,7 +48,7 @@
   /** Retention time of a claim, in ms. */
   memoryMs: number
   /** Whether this entry has never run before, so that it has no claims to recover. */
-  firstLife: boolean
+  isFirstLife: boolean
   /** Whether the entry has been heard from recently. */
   isReached(entry: string): boolean
   /** Whether the entry's process, and its claims with it, is certainly gone. */
@@ -75,13 +75,13 @@
    */
   recover(): Promise<boolean>
   /** Hands the claims over to a peer before a planned stop. */
-  leave(): Promise<void>
+  handOverClaims(): Promise<void>
   /** Handlers for calls from peers. */
   answer: {
     claim(id: string, owner: string, token: string): Verdict
     settle(id: string, state: ClaimState | 'not-run'): void
-    collect(from: string): Legacy
-    handOver(from: string, legacy: Legacy): void
+    collect(from: string): ClaimHandover
+    handOver(from: string, legacy: ClaimHandover): void
   }
 }
 
@@ -128,11 +128,11 @@
    * may stand in for this entry, and a later life may mistake those claims for the latest.
    */
   const unaskedPeers = new Set(
-    opts.firstLife ? [] : peersOwnHallFirst.map(({ id }) => id),
+    opts.isFirstLife ? [] : peersOwnHallFirst.map(({ id }) => id),
   )
   /** Those of them that did not answer; each is logged once. */
   const silentPeers = new Set<string>()
-  let recovered = opts.firstLife
+  let recovered = opts.isFirstLife
   let isLeaving = false
 
   function hasAskedAll(): boolean {
@@ -235,7 +235,7 @@
     }
   }
 
-  async function collectFrom(peer: string): Promise<Legacy | undefined> {
+  async function collectFrom(peer: string): Promise<ClaimHandover | undefined> {
     try {
       const legacy = await peers.collect(peer)
       unaskedPeers.delete(peer)
@@ -280,7 +280,7 @@
       if (done && !recovered) log.event('onceMemoryMissing')
       return done
     },
-    async leave() {
+    async handOverClaims() {
       if (isLeaving) return
       isLeaving = true
       const complete = recovered || (hasAskedAll() && now() - startedAt >= memoryMs)
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -34,7 +34,7 @@
   loads(): { service: string; inFlight: number; queued: number }[]
   loadOf(service: string): { inFlight: number; queued: number }
   /** Admits queued requests up to the capacity. */
-  wake(): void
+  admitWaiting(): void
   /** Requests that have not ended, over all services. */
   open(): number
   /** Resolves once no request is open. */
@@ -285,7 +285,7 @@
       const limiter = limiters.get(service)
       return { inFlight: limiter?.inFlight() ?? 0, queued: limiter?.queued() ?? 0 }
     },
-    wake: admitAllWaiting,
+    admitWaiting: admitAllWaiting,
     open: () => open,
     drained: () =>
       open === 0
--- a/src/entry/targetView.ts
+++ b/src/entry/targetView.ts
@@ -35,11 +35,11 @@
   /** Jobs whose targets have told this entry that they drain. */
   draining(): string[]
   /** Sets the jobs whose targets have told other entries that they drain. */
-  notePeerDraining(jobs: ReadonlySet<string>): void
+  setPeerDraining(jobs: ReadonlySet<string>): void
   /** Every stopping job, with the requests of this entry in flight there. */
   stopping(): { job: string; inFlight: number }[]
   /** Whether the platform's VM list has been read and does not contain the VM. */
-  isOffList(vm: string): boolean
+  isUnlisted(vm: string): boolean
   /** Calls back when targets or their states change. Returns an unsubscriber. */
   subscribe(listener: () => void): () => void
   stop(): Promise<void>
@@ -54,7 +54,7 @@
   /** Other reachable entries of the hall. */
   reachedEntries(): readonly string[]
   /** Tells the other entries at once that a target began or ceased to drain. */
-  tellPeers(): void
+  notifyPeers(): void
   log: Logger
   metrics: Metrics
 }
@@ -114,7 +114,7 @@
       connectTimeoutMs: cfg.requests.connect_timeout,
       healthIntervalMs: cfg.requests.health_interval,
       isHealthCheckAssigned: () => healthChecks.isAssignedHere(id),
-      onDraining: opts.tellPeers,
+      onDraining: opts.notifyPeers,
       log,
     })
     byJob.set(id, target)
@@ -215,7 +215,7 @@
     },
     draining: () =>
       [...byJob.values()].filter((t) => t.reportsDraining).map((t) => t.job),
-    notePeerDraining(jobs) {
+    setPeerDraining(jobs) {
       for (const target of byJob.values()) target.setPeerDraining(jobs.has(target.job))
     },
     stopping() {
@@ -229,7 +229,7 @@
       }
       return stopping
     },
-    isOffList: (vm) => listed !== undefined && !listed.has(vm),
+    isUnlisted: (vm) => listed !== undefined && !listed.has(vm),
     subscribe(listener) {
       listeners.add(listener)
       return () => listeners.delete(listener)
--- a/src/peer/oncePeers.ts
+++ b/src/peer/oncePeers.ts
@@ -3,7 +3,7 @@
 import { Code, ConnectError } from '@connectrpc/connect'
 import { fromThrowable } from 'neverthrow'
 import { z } from 'zod'
-import type { ClaimRecord, Legacy, Once, OncePeers } from '../entry/index.js'
+import type { ClaimRecord, ClaimHandover, Once, OncePeers } from '../entry/index.js'
 import { PeerError } from '../shared/index.js'
 import {
   CALL_TIMEOUT_MS,
@@ -62,7 +62,7 @@
 }
 
 /** Encodes claims. A list over the limit keeps its last ones and is marked incomplete. */
-function encodeClaims({ claims, complete }: Legacy) {
+function encodeClaims({ claims, complete }: ClaimHandover) {
   const kept = claims.slice(-MAX_CLAIMS_PER_MESSAGE)
   const encoded = kept.map(({ id, state, ageMs, token }) => {
     return { id, state, ageMs: BigInt(Math.round(ageMs)), token }
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -55,7 +55,7 @@
   return (entry) => {
     const peer = peers.peers().find(({ id }) => id === entry)
     const silentMs = peer?.silentForMs() ?? Infinity
-    return silentMs > GONE_AFTER_MS && view.isOffList(entry)
+    return silentMs > GONE_AFTER_MS && view.isUnlisted(entry)
   }
 }
 
@@ -75,12 +75,12 @@
         table: get('table'),
         reachedEntries: () =>
           hallEntries.map(({ id }) => id).filter((id) => isReached(peers, id)),
-        tellPeers: () => void peers.syncHall(),
+        notifyPeers: () => void peers.syncHall(),
         log,
         metrics: get('metrics'),
       })
       peers.subscribe(() =>
-        view.notePeerDraining(jobsDrainingAtPeers(peers, cfg.node.hall)),
+        view.setPeerDraining(jobsDrainingAtPeers(peers, cfg.node.hall)),
       )
       return view
     },
@@ -109,7 +109,7 @@
         entries: entriesOf(cfg),
         peers: peers.oncePeers,
         memoryMs: cfg.requests.once_memory,
-        firstLife: await isFirstIncarnation(get('platform'), id),
+        isFirstLife: await isFirstIncarnation(get('platform'), id),
         isReached: (entry) => isReached(peers, entry),
         isGone: createGoneCheck(peers, get('view')),
         now: monotonicMs,
@@ -132,7 +132,7 @@
           await recovery
           // The claims go to a peer that is reached, so reachability must be up to date.
           await peers.syncHall()
-          await once.leave()
+          await once.handOverClaims()
         },
       }
     },
@@ -231,7 +231,7 @@
         while (!stopping.signal.aborted) {
           router.allotments.step()
           if (router.loads().some(({ queued }) => queued > 0)) await peers.syncHall()
-          router.wake()
+          router.admitWaiting()
           await sleep(LOAN_INTERVAL_MS, stopping.signal)
         }
       }
