--- a/src/bin/nodeProgram.ts
+++ b/src/bin/nodeProgram.ts
@@ -3,12 +3,12 @@
 import {
   createAdviceClient,
   createCloudClient,
-  createJobFace,
-  createMetricsFace,
+  createJobApp,
+  createMetricsApp,
   createOrdersClient,
-  createReadinessFace,
+  createReadinessApp,
   createStoreClient,
-  openFace,
+  serveApp,
   platformDocuments,
 } from '../../platform/index.js'
 import { loadNodeConfig, unknownContracts } from '../config/index.js'
@@ -37,10 +37,14 @@
   const onTraffic = metrics.noteCall
   const onUnread = (step: string, reason: string): void =>
     log.event('answerUnread', { step, reason })
-  const store = createStoreClient({ address: cfg.store.address, onTraffic, onUnread })
+  const store = createStoreClient({
+    address: cfg.store.address,
+    onTraffic,
+    onInvalid: onUnread,
+  })
   const { address: cloudAddress } = cfg.cloud
   const cloud = cloudAddress
-    ? createCloudClient({ address: cloudAddress, onTraffic, onUnread })
+    ? createCloudClient({ address: cloudAddress, onTraffic, onInvalid: onUnread })
     : undefined
   const { address: adviceAddress } = cfg.advice
   const advice = adviceAddress
@@ -48,17 +52,17 @@
     : undefined
   return {
     store,
-    orders: createOrdersClient({ onTraffic, onUnread }),
+    orders: createOrdersClient({ onTraffic, onInvalid: onUnread }),
     cloud,
     advice,
     documents: platformDocuments,
     openCallers: (jobs, maxBodyBytes) =>
-      openFace(createJobFace(jobs, maxBodyBytes), cfg.listen.callers),
+      serveApp(createJobApp(jobs, maxBodyBytes), cfg.listen.callers),
     openReadiness: (notReady) =>
-      openFace(createReadinessFace(notReady), cfg.listen.readiness),
+      serveApp(createReadinessApp(notReady), cfg.listen.readiness),
     openMetrics: () =>
-      openFace(
-        createMetricsFace(() => metrics.registry.metrics()),
+      serveApp(
+        createMetricsApp(() => metrics.registry.metrics()),
         `${cfg.listen.address}:${cfg.listen.metrics_port}`,
       ),
     close() {
--- a/src/directory/configurationHolder.ts
+++ b/src/directory/configurationHolder.ts
@@ -1,6 +1,6 @@
 /** The configuration in force on this node, and the waves requested by the operators. */
 import type { Configuration, Documents, Queue, RowStore, Wave } from '../ports/index.js'
-import { createUnreadRows } from '../shared/index.js'
+import { createInvalidRows } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createRowMirror } from './rowMirror.js'
 
@@ -33,7 +33,7 @@
   const { documents, log } = opts
   const listeners: (() => void)[] = []
   const waves = new Map<string, Wave>()
-  const unreadRows = createUnreadRows(log, documents.table)
+  const unreadRows = createInvalidRows(log, documents.table)
   let current: Configuration | undefined
   let byHost = new Map<string, Queue[]>()
   let byName = new Map<string, Queue>()
@@ -46,8 +46,8 @@
       previous: current?.version,
       queues: next.queues.length,
     })
-    if (next.unread.length > 0) {
-      unreadRows.note(documents.configurationKey, next.unread.join('; '))
+    if (next.invalidParts.length > 0) {
+      unreadRows.note(documents.configurationKey, next.invalidParts.join('; '))
     } else unreadRows.clear(documents.configurationKey)
     current = next
     byName = new Map(next.queues.map((queue) => [queue.name, queue]))
--- a/src/directory/targetList.ts
+++ b/src/directory/targetList.ts
@@ -1,6 +1,6 @@
 /** The list of targets, read from the entries that the targets write to the store. */
 import type { Documents, RowStore, Target } from '../ports/index.js'
-import { createUnreadRows, monotonicMs } from '../shared/index.js'
+import { createInvalidRows, monotonicMs } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { createRowMirror } from './rowMirror.js'
 
@@ -44,7 +44,7 @@
   const unreadable = new Map<string, number>()
   /** Start of the process life, and service and address, as last written by each target. */
   const identities = new Map<string, { lifeStartMs: number; identity: string }>()
-  const unreadRows = createUnreadRows(opts.log, opts.documents.table)
+  const unreadRows = createInvalidRows(opts.log, opts.documents.table)
   const listeners = new Set<() => void>()
 
   /**
--- a/src/front/jobService.ts
+++ b/src/front/jobService.ts
@@ -23,7 +23,7 @@
   StoredRow,
 } from '../ports/index.js'
 import {
-  createUnreadRows,
+  createInvalidRows,
   describeError,
   jittered,
   monotonicMs,
@@ -105,7 +105,7 @@
 /** Creates the service, which holds no state of jobs. */
 export function createJobService(opts: JobServiceOptions): JobService {
   const { store, configuration, owners, log } = opts
-  const unreadRows = createUnreadRows(log, INTAKE_TABLE)
+  const unreadRows = createInvalidRows(log, INTAKE_TABLE)
 
   /**
    * Whether the job was accepted before, according to the rows that conflict with its new row.
@@ -218,7 +218,7 @@
       const current = configuration.current()
       const isStale = monotonicMs() - configuration.freshAt() > CONFIGURATION_STALE_MS
       // An unreadable part of the configuration may define the queue, so it is not ruled out.
-      if (!current || isStale || current.unread.length > 0) {
+      if (!current || isStale || current.invalidParts.length > 0) {
         return { kind: 'notReady', retryAfterMs: RETRY_AFTER_MS }
       }
       return { kind: 'unknown' }
--- a/src/node/serviceMap.ts
+++ b/src/node/serviceMap.ts
@@ -10,7 +10,7 @@
   TargetOrders,
   VmCloud,
 } from '../ports/index.js'
-import type { Lateness } from '../shared/index.js'
+import type { ProcessDelayWatch } from '../shared/index.js'
 import type { StoreAccess } from '../storeAccess/index.js'
 import type { FleetReports } from './fleetReports.js'
 import type { OwnerTable } from './ownerTable.js'
@@ -44,7 +44,7 @@
     nodePlatform: NodePlatform
     storeAccess: StoreAccess
     nodeState: NodeState
-    lateness: Lateness
+    lateness: ProcessDelayWatch
     configuration: ConfigurationHolder
     registry: NodeRegistry
     targetSource: TargetSource
--- a/src/node/sourceServices.ts
+++ b/src/node/sourceServices.ts
@@ -5,7 +5,7 @@
   createTargetSource,
 } from '../directory/index.js'
 import { defineService } from '../kernel/index.js'
-import { watchLateness } from '../shared/index.js'
+import { watchProcessDelay } from '../shared/index.js'
 import { createStoreAccess } from '../storeAccess/index.js'
 import type { NodePlatform } from './serviceMap.js'
 
@@ -37,7 +37,7 @@
   defineService({
     name: 'lateness',
     needs: [],
-    start: async ({ log }) => watchLateness(log),
+    start: async ({ log }) => watchProcessDelay(log),
     stop: async (lateness) => lateness.stop(),
   })
 
--- a/src/ownership/membership.ts
+++ b/src/ownership/membership.ts
@@ -3,7 +3,7 @@
  * row has been unchanged for longer than its lease, measured on the local lease clock.
  */
 import type { RowChange } from '../ports/index.js'
-import { createUnreadRows } from '../shared/index.js'
+import { createInvalidRows } from '../shared/index.js'
 import type { Logger } from '../shared/index.js'
 import { READ_GAP_GRACE_MS, TAKEOVER_MARGIN_MS } from './constants.js'
 import { NODES_TABLE, decodeNode } from './nodeRow.js'
@@ -54,7 +54,7 @@
 }): MembershipTracker {
   const { self, log, now } = opts
   const members = new Map<string, Member>()
-  const unreadableRows = createUnreadRows(log, NODES_TABLE)
+  const unreadableRows = createInvalidRows(log, NODES_TABLE)
   /** Start of the last read, and of the first read after the last gap, on the lease clock. */
   let lastReadAt = -Infinity
   let firstReadAfterGapAt = -Infinity
--- a/src/ownership/ownership.ts
+++ b/src/ownership/ownership.ts
@@ -6,7 +6,7 @@
 import type { RowStore } from '../ports/index.js'
 import {
   createStopController,
-  createUnreadRows,
+  createInvalidRows,
   describeError,
   jittered,
   monotonicMs,
@@ -74,7 +74,7 @@
   const claiming = new Set<string>()
   /** Versions of epoch rows, with the lease-clock times at which they were first read. */
   const epochsSeen = new Map<string, { version: number; at: number }>()
-  const unreadableRows = createUnreadRows(log, EPOCH_TABLE)
+  const unreadableRows = createInvalidRows(log, EPOCH_TABLE)
   const { id, life } = registry.self
   let releasing = false
 
--- a/src/ports/configuration.ts
+++ b/src/ports/configuration.ts
@@ -33,7 +33,7 @@
   services: Map<string, ServicePool>
   limits: { headerBytes: number; bodyBytes: number; headerMs: number; idleMs: number }
   /** One message for each invalid part, which is left out. */
-  unread: string[]
+  invalidParts: string[]
 }
 
 /** A maintenance wave: maintains each VM once, at most `maxDown` at a time. */
--- a/src/ports/vmCloud.ts
+++ b/src/ports/vmCloud.ts
@@ -22,7 +22,7 @@
  * cannot arrive later. A cloud slowed 50 times answers within 0.3 s. A new owner of the fleet
  * waits this long after the lease of the previous owner.
  */
-export const ORDER_IN_FLIGHT_MS = 700
+export const VM_ORDER_TIMEOUT_MS = 700
 
 /** Authority under which VMs are ordered: lease holder and fencing token. */
 export interface VmAuthority {
--- a/src/scheduler/__tests__/callWithRetries.spec.ts
+++ b/src/scheduler/__tests__/callWithRetries.spec.ts
@@ -1,7 +1,7 @@
 import { err, ok } from 'neverthrow'
 import { describe, it } from '../../../test/describe.js'
 import type { OrderFailure } from '../../ports/index.js'
-import { PlatformError, createRoundTrip, sleep } from '../../shared/index.js'
+import { PlatformError, createAdaptiveTimeout, sleep } from '../../shared/index.js'
 import { callWithRetries } from '../callWithRetries.js'
 import { ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS } from '../constants.js'
 
@@ -12,9 +12,9 @@
 
 /** Creates a target that usually answers in 1 ms and gives these results to the next calls. */
 function createFakeTarget(results: unknown[]) {
-  const roundTrip = createRoundTrip({
-    leastMs: MIN_ANSWER_TIMEOUT_MS,
-    mostMs: ANSWER_TIMEOUT_MS,
+  const roundTrip = createAdaptiveTimeout({
+    minMs: MIN_ANSWER_TIMEOUT_MS,
+    maxMs: ANSWER_TIMEOUT_MS,
   })
   roundTrip.note(1)
   const timeouts: number[] = []
--- a/src/scheduler/__tests__/orderSender.spec.ts
+++ b/src/scheduler/__tests__/orderSender.spec.ts
@@ -8,7 +8,7 @@
 import {
   PlatformError,
   createMemoryLogger,
-  createRoundTrip,
+  createAdaptiveTimeout,
   createStopController,
   sleep,
 } from '../../shared/index.js'
@@ -77,7 +77,7 @@
   const lease = createTargetLease(0)
   lease.noteClock(1)
   const { signal } = createStopController()
-  const roundTrip = createRoundTrip({ leastMs: 100, mostMs: 700 })
+  const roundTrip = createAdaptiveTimeout({ minMs: 100, maxMs: 700 })
   roundTrip.note(1)
   const sender = createOrderSender({
     targetId: 't1',
--- a/src/scheduler/__tests__/takeover.spec.ts
+++ b/src/scheduler/__tests__/takeover.spec.ts
@@ -14,7 +14,7 @@
 import {
   createMemoryLogger,
   createStopController,
-  createUnreadRows,
+  createInvalidRows,
   sleep,
 } from '../../shared/index.js'
 import { createPartsReading, intakeVersion } from '../intakeReading.js'
@@ -26,7 +26,7 @@
   const reading = createPartsReading({
     store,
     service: SERVICE,
-    unreadableRows: createUnreadRows(createMemoryLogger(), INTAKE_TABLE),
+    unreadableRows: createInvalidRows(createMemoryLogger(), INTAKE_TABLE),
     isReadFirst: (queue) => first.includes(queue),
     handler: {
       job: ({ id }) => void ids.push(id),
--- a/src/scheduler/callWithRetries.ts
+++ b/src/scheduler/callWithRetries.ts
@@ -7,7 +7,7 @@
 import type { Result } from 'neverthrow'
 import type { OrderError, OrderResult } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
-import type { RoundTrip } from '../shared/index.js'
+import type { AdaptiveTimeout } from '../shared/index.js'
 import { ANSWER_TIMEOUT_MS, MIN_ANSWER_TIMEOUT_MS } from './constants.js'
 
 /** Largest number of calls before the target counts as silent. */
@@ -23,7 +23,7 @@
 
 /** Options of a call with retries. */
 export interface CallOptions<T> {
-  roundTrip: RoundTrip
+  roundTrip: AdaptiveTimeout
   /**
    * Makes one call.
    * @param timeoutMs time-out, counted from when the target could have answered
--- a/src/scheduler/finishedJobs.ts
+++ b/src/scheduler/finishedJobs.ts
@@ -17,7 +17,7 @@
 import type { RowKey, RowStore } from '../ports/index.js'
 import {
   createStopController,
-  createUnreadRows,
+  createInvalidRows,
   describeError,
   monotonicMs,
   sleep,
@@ -95,7 +95,7 @@
   const { store, service, authority, book, log } = opts
   const stopping = createStopController()
   const startedAt = monotonicMs()
-  const unreadableRows = createUnreadRows(log, ENDED_TABLE)
+  const unreadableRows = createInvalidRows(log, ENDED_TABLE)
   /** Jobs whose rows are still in the intake, by part of the table. */
   const pendingMoves = new Map<string, Queued<FinishedJob>[]>()
   /** Ids of the jobs whose progress rows are no longer needed. */
--- a/src/scheduler/intakeReading.ts
+++ b/src/scheduler/intakeReading.ts
@@ -4,7 +4,7 @@
 import { INTAKE_TABLE, decodeIntake, queueOfPart } from '../jobs/index.js'
 import type { JobSpec } from '../jobs/index.js'
 import type { RowStore, StoredRow } from '../ports/index.js'
-import type { PlatformError, UnreadRows } from '../shared/index.js'
+import type { PlatformError, InvalidRows } from '../shared/index.js'
 
 /**
  * Parts that are read concurrently. Each read takes a connection to the store, and its reply
@@ -53,7 +53,7 @@
 export interface PartsReadingOptions {
   store: RowStore
   service: string
-  unreadableRows: UnreadRows
+  unreadableRows: InvalidRows
   /** Whether the parts of a queue are read before those of others. */
   isReadFirst(queue: string): boolean
   handler: IntakeHandler
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -16,7 +16,7 @@
   monotonicMs,
   sleep,
 } from '../shared/index.js'
-import type { Logger, UnreadRows } from '../shared/index.js'
+import type { Logger, InvalidRows } from '../shared/index.js'
 import {
   FLUSH_RETRY_MS,
   INTAKE_POLL_MS,
@@ -85,7 +85,7 @@
   /** Whether `queueRows` has every queue from which the predecessor may have started jobs. */
   hasAllQueueRows: boolean
   /** Tracks the rows of the intake that cannot be read. */
-  unreadableRows: UnreadRows
+  unreadableRows: InvalidRows
   log: Logger
   /** Called when the row of a job cannot be read; the job may be in the job book. */
   rowUnreadable(id: string): void
--- a/src/scheduler/orderSender.ts
+++ b/src/scheduler/orderSender.ts
@@ -15,7 +15,7 @@
   TargetLink,
 } from '../ports/index.js'
 import { monotonicMs } from '../shared/index.js'
-import type { Logger, RoundTrip } from '../shared/index.js'
+import type { Logger, AdaptiveTimeout } from '../shared/index.js'
 import { callWithRetries } from './callWithRetries.js'
 import type { CallResult } from './callWithRetries.js'
 import { FULL_PAUSE_MS, REFUSED_PAUSE_MS } from './constants.js'
@@ -67,7 +67,7 @@
   authority: Authority
   runs: TargetRuns
   lease: TargetLease
-  roundTrip: RoundTrip
+  roundTrip: AdaptiveTimeout
   /** Starts in flight on all targets of the owner. */
   startWindow: StartWindow
   /** Aborts sending; queued orders are dropped. */
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -9,7 +9,7 @@
 import type { Authority, Owner } from '../ownership/index.js'
 import {
   createStopController,
-  createUnreadRows,
+  createInvalidRows,
   monotonicMs,
   sleep,
 } from '../shared/index.js'
@@ -163,7 +163,7 @@
   })
   const tickets = createTickets({ advice: opts.advice, log, changed: wake })
   const lifeCheck = createLivenessCheck(opts.cloud, log)
-  const unreadableRows = createUnreadRows(log, INTAKE_TABLE)
+  const unreadableRows = createInvalidRows(log, INTAKE_TABLE)
   const isGateOpen = (): boolean => gateOpen
   const held = createHeldJobs({ store, service, authority, book, log, isGateOpen })
   const restorer = createRowRestorer({ store, authority, book, log })
--- a/src/scheduler/takeover.ts
+++ b/src/scheduler/takeover.ts
@@ -5,7 +5,7 @@
 import { PROGRESS_TABLE, decodeProgress } from '../jobs/index.js'
 import type { Progress } from '../jobs/index.js'
 import type { Authority } from '../ownership/index.js'
-import { createUnreadRows, describeError, jittered, sleep } from '../shared/index.js'
+import { createInvalidRows, describeError, jittered, sleep } from '../shared/index.js'
 import type { Logger, PlatformError } from '../shared/index.js'
 import { FLUSH_RETRY_MS } from './constants.js'
 import { cacheSuccess, intakeVersion } from './intakeReading.js'
@@ -44,7 +44,7 @@
 ): Promise<Result<InheritedProgress, PlatformError>> {
   const rows = await store.read(PROGRESS_TABLE, service)
   if (rows.isErr()) return err(rows.error)
-  const unreadableRows = createUnreadRows(log, PROGRESS_TABLE)
+  const unreadableRows = createInvalidRows(log, PROGRESS_TABLE)
   const progress: InheritedState['progress'] = new Map()
   const unreadableProgress = new Set<string>()
   for (const { key, value, version } of rows.value.rows) {
@@ -66,7 +66,7 @@
 ): Promise<Result<InheritedRosterEntry[], PlatformError>> {
   const roster = await store.read(ROSTER_TABLE, service)
   if (roster.isErr()) return err(roster.error)
-  const unreadableRows = createUnreadRows(log, ROSTER_TABLE)
+  const unreadableRows = createInvalidRows(log, ROSTER_TABLE)
   const entries = roster.value.rows.map(decodeRosterEntry)
   for (const { id, address } of entries) {
     if (address === undefined)
--- a/src/scheduler/targetAgent.ts
+++ b/src/scheduler/targetAgent.ts
@@ -17,7 +17,7 @@
 import type { JobBook, Step, Task } from '../jobs/index.js'
 import type { Authority } from '../ownership/index.js'
 import {
-  createRoundTrip,
+  createAdaptiveTimeout,
   createStopController,
   jittered,
   monotonicMs,
@@ -82,9 +82,9 @@
   const stopping = createStopController()
   const { signal } = stopping
   const lease = createTargetLease(opts.inheritedLeaseMs)
-  const roundTrip = createRoundTrip({
-    leastMs: MIN_ANSWER_TIMEOUT_MS,
-    mostMs: ANSWER_TIMEOUT_MS,
+  const roundTrip = createAdaptiveTimeout({
+    minMs: MIN_ANSWER_TIMEOUT_MS,
+    maxMs: ANSWER_TIMEOUT_MS,
   })
   const pacer = createPacer()
   const silence = createTargetSilence(targetId, log)
--- a/src/shared/unreadRows.ts
+++ b/src/shared/invalidRows.ts
@@ -13,7 +13,7 @@
 const MAX_REMEMBERED_ROWS = 2000
 
 /** The invalid rows of one table. */
-export interface UnreadRows {
+export interface InvalidRows {
   /** Records that the row is invalid; logs it when that or the reason is new. */
   note(key: string, reason: string): void
   /** Records that the row is valid or was removed. */
@@ -21,7 +21,7 @@
 }
 
 /** Creates the record with no invalid row. */
-export function createUnreadRows(log: Logger, table: string): UnreadRows {
+export function createInvalidRows(log: Logger, table: string): InvalidRows {
   const reasons = new Map<string, string>()
 
   function evictOldest(): void {
--- a/src/shared/lateness.ts
+++ b/src/shared/lateness.ts
@@ -13,12 +13,12 @@
 const MIN_REPORT_INTERVAL_MS = 1000
 
 /** Watches the delay of this process until it is stopped. */
-export interface Lateness {
+export interface ProcessDelayWatch {
   stop(): void
 }
 
 /** Starts the watch, which logs long delays. */
-export function watchLateness(log: Logger): Lateness {
+export function watchProcessDelay(log: Logger): ProcessDelayWatch {
   let dueAt = monotonicMs() + CHECK_INTERVAL_MS
   let maxDelayMs = 0
   let reportedAt = -Infinity
--- a/src/shared/roundTrip.ts
+++ b/src/shared/roundTrip.ts
@@ -13,7 +13,7 @@
 const BACKOFF_FACTOR = 2
 
 /** Time-out estimate of one peer. */
-export interface RoundTrip {
+export interface AdaptiveTimeout {
   /** Records the time of an answer that the peer gave without waiting. */
   note(tookMs: number): void
   /** Records a missing answer, which increases the time-out. */
@@ -23,7 +23,10 @@
 }
 
 /** Creates the estimate, which is `mostMs` before the first answer. Bounds are in ms. */
-export function createRoundTrip(opts: { leastMs: number; mostMs: number }): RoundTrip {
+export function createAdaptiveTimeout(opts: {
+  minMs: number
+  maxMs: number
+}): AdaptiveTimeout {
   let meanMs: number | undefined
   let variationMs = 0
   let backoff = 1
@@ -41,12 +44,9 @@
     },
     missed: () => void (backoff *= BACKOFF_FACTOR),
     timeoutMs() {
-      if (meanMs === undefined) return opts.mostMs
-      const expectedMs = Math.max(
-        opts.leastMs,
-        meanMs + variationMs * VARIATION_MULTIPLIER,
-      )
-      return Math.min(opts.mostMs, expectedMs * backoff)
+      if (meanMs === undefined) return opts.maxMs
+      const expectedMs = Math.max(opts.minMs, meanMs + variationMs * VARIATION_MULTIPLIER)
+      return Math.min(opts.maxMs, expectedMs * backoff)
     },
   }
 }
--- a/src/storeAccess/commitTimeout.ts
+++ b/src/storeAccess/commitTimeout.ts
@@ -4,7 +4,7 @@
  * answer, even a late one, adjusts the time-out of the next commit.
  */
 import type { StoreResult } from '../ports/index.js'
-import { createRoundTrip, monotonicMs, watchSilence } from '../shared/index.js'
+import { createAdaptiveTimeout, monotonicMs, watchSilence } from '../shared/index.js'
 import { MAX_COMMIT_WAIT_MS, MIN_COMMIT_WAIT_MS } from './constants.js'
 import { STORE_PLACE, failedAnswer, isAnswered } from './storeCall.js'
 
@@ -13,9 +13,9 @@
 
 /** Creates the time-out, which one node uses for all its commits. */
 export function createCommitTimeout(): CommitTimeout {
-  const roundTrip = createRoundTrip({
-    leastMs: MIN_COMMIT_WAIT_MS,
-    mostMs: MAX_COMMIT_WAIT_MS,
+  const roundTrip = createAdaptiveTimeout({
+    minMs: MIN_COMMIT_WAIT_MS,
+    maxMs: MAX_COMMIT_WAIT_MS,
   })
 
   return (commit) =>
--- a/src/vms/__tests__/fleetOwner.spec.ts
+++ b/src/vms/__tests__/fleetOwner.spec.ts
@@ -4,7 +4,7 @@
 import { vmOf } from '../../../test/fixtures.js'
 import type { ConfigurationHolder } from '../../directory/index.js'
 import type { Authority } from '../../ownership/index.js'
-import { ORDER_IN_FLIGHT_MS } from '../../ports/index.js'
+import { VM_ORDER_TIMEOUT_MS } from '../../ports/index.js'
 import type { Documents, Vm, VmCloud, Wave } from '../../ports/index.js'
 import { createMemoryLogger, sleep } from '../../shared/index.js'
 import { PEAK_HOLD_MS, createFleetOwner } from '../index.js'
@@ -267,7 +267,7 @@
 
   it('sends no order while one of the previous owner may be in flight', async (t) => {
     // An order sent just before the end of the lease may be in flight for 1 s from now.
-    const leaseOverAt = performance.now() + 1000 - ORDER_IN_FLIGHT_MS
+    const leaseOverAt = performance.now() + 1000 - VM_ORDER_TIMEOUT_MS
     const { fleet, orders } = startFleet(
       [vmOf(1, 'a'), vmOf(2, 'idle')],
       [],
--- a/src/vms/fleetOwner.ts
+++ b/src/vms/fleetOwner.ts
@@ -3,7 +3,7 @@
  * carries out maintenance waves. No other component sends orders to the cloud.
  */
 import type { ConfigurationHolder } from '../directory/index.js'
-import { ORDER_IN_FLIGHT_MS } from '../ports/index.js'
+import { VM_ORDER_TIMEOUT_MS } from '../ports/index.js'
 import type { Documents, RowStore, Vm, VmCloud } from '../ports/index.js'
 import type { Authority, Owner } from '../ownership/index.js'
 import {
@@ -185,7 +185,7 @@
 
   async function run(): Promise<void> {
     // The previous owner's last order may still be in flight and must not arrive after ours.
-    const ordersOverAt = authority.predecessorLeaseOverAt + ORDER_IN_FLIGHT_MS
+    const ordersOverAt = authority.predecessorLeaseOverAt + VM_ORDER_TIMEOUT_MS
     await sleep(Math.max(0, ordersOverAt - monotonicMs()), stopping.signal)
     firstDecisionAt = monotonicMs()
     const steps = { waves, orders, emptying, hurried, getView }
--- a/src/vms/waves.ts
+++ b/src/vms/waves.ts
@@ -7,7 +7,7 @@
 import type { Documents, RowKey, RowStore, Vm, Wave } from '../ports/index.js'
 import type { Authority } from '../ownership/index.js'
 import {
-  createUnreadRows,
+  createInvalidRows,
   describeError,
   monotonicMs,
   parseJson,
@@ -59,7 +59,7 @@
 }): WaveTracker {
   const { store, authority, status, log } = opts
   const waves = new Map<number, WaveProgress>()
-  const unreadableRows = createUnreadRows(log, WAVES_TABLE)
+  const unreadableRows = createInvalidRows(log, WAVES_TABLE)
 
   const rowKey = (id: number): RowKey => ({
     table: WAVES_TABLE,
