--- a/scripts/cachedStart.ts
+++ b/scripts/cachedStart.ts
@@ -7,11 +7,11 @@
 import { createRequire } from 'node:module'
 import { dirname, join } from 'node:path'
 import { Script } from 'node:vm'
-import { holdSignals } from '../src/bin/signals.js'
+import { bufferSignals } from '../src/bin/signals.js'
 
 // Reading and compiling the bundle takes most of a start, and a signal without a handler
 // would end the process.
-holdSignals()
+bufferSignals()
 
 /** Environment variable with the path to write the cache to; set only by the build. */
 const WRITE_CACHE_VARIABLE = 'RILLSHUNT_WRITE_CODE_CACHE'
--- a/src/bin/node.ts
+++ b/src/bin/node.ts
@@ -3,7 +3,7 @@
  * `rillshunt-node`: accepts jobs from callers and runs them on targets. Signals are
  * buffered before any other module is loaded.
  */
-import { holdSignals } from './signals.js'
+import { bufferSignals } from './signals.js'
 
-const signals = holdSignals()
+const signals = bufferSignals()
 void import('./nodeProgram.js').then(({ runNodeProgram }) => runNodeProgram(signals))
--- a/src/bin/signals.ts
+++ b/src/bin/signals.ts
@@ -20,7 +20,7 @@
 const SIGNALS_KEY = Symbol.for('rillshunt.signals')
 
 /** Buffers signals from now on; later calls return the same buffer. */
-export function holdSignals(): Signals {
+export function bufferSignals(): Signals {
   const globals = globalThis as { [SIGNALS_KEY]?: Signals }
   return (globals[SIGNALS_KEY] ??= createSignalBuffer())
 }
