--- a/bench/node.ts
+++ b/bench/node.ts
@@ -87,7 +87,7 @@
     pools: { one: TARGETS, idle: 2 },
     halls: ['h1', 'h2'],
     capacity: { cpu: 32_000, memMb: 128_000, gpu: 0 },
-    awayMs: 300,
+    offlineMs: 300,
   })
 
 interface Usage {
--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -8,7 +8,7 @@
 import type { TargetAgent } from '../src/scheduler/types.js'
 import { createRoom } from '../src/scheduler/room.js'
 import { urgencyOf } from '../src/scheduler/urgency.js'
-import { createStillBook } from '../test/fixtures.js'
+import { createFrozenJobBook } from '../test/fixtures.js'
 import { QUEUE, makeJob } from '../test/jobRig.js'
 
 /** Numbers of waiting jobs and of targets; one target in ten has room for some tasks. */
@@ -37,7 +37,7 @@
   targetCount: number,
   triesEveryTarget: boolean,
 ): number {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   for (let each = 0; each < jobCount; each++) {
     const cpu = 2000 + ((each * 379) % 5000)
     book.add(makeJob({ cpu }, [{ count: TASKS_PER_JOB, cpu }]))
--- a/playground/__tests__/foreignRows.spec.ts
+++ b/playground/__tests__/foreignRows.spec.ts
@@ -7,7 +7,7 @@
 import { describe, itAlone } from '../../test/describe.js'
 import { isReady, waitUntil } from '../../test/nodeProbe.js'
 import { foreignKey, foreignText } from '../../test/foreignRows.js'
-import { findBrokenPromise } from '../../test/jobRig.js'
+import { findGuaranteeViolation } from '../../test/jobRig.js'
 import { endedKey, intakeKey } from '../../src/jobs/index.js'
 import type { RowKey } from '../../src/ports/index.js'
 import { sleep } from '../../src/shared/index.js'
@@ -102,7 +102,7 @@
     pools: { one: 3, idle: 2 },
     halls: ['h1', 'h2'],
     capacity: { cpu: 8000, memMb: 32_000, gpu: 0 },
-    awayMs: 300,
+    offlineMs: 300,
   })
   platform.putConfiguration(ONE_QUEUE)
   const nodes = await Promise.all(
@@ -154,7 +154,7 @@
       return open.size === 0
     })
     t.true(done, `open: ${[...open].join(' ')}`)
-    t.is(findBrokenPromise(platform.ledger), undefined)
+    t.is(findGuaranteeViolation(platform.ledger), undefined)
     t.deepEqual(linesOf(nodes, 'unexpectedError'), [])
     const lines = linesOf(nodes, 'rowInvalid')
     t.true(lines.length > 0)
--- a/playground/__tests__/lostOrders.spec.ts
+++ b/playground/__tests__/lostOrders.spec.ts
@@ -6,7 +6,7 @@
 import { createOrdersClient } from '../../platform/index.js'
 import { monotonicMs, sleep } from '../../src/shared/index.js'
 import { describe, it } from '../../test/describe.js'
-import { createJobRig, findBrokenPromise, makeJob } from '../../test/jobRig.js'
+import { createJobRig, findGuaranteeViolation, makeJob } from '../../test/jobRig.js'
 import type { JobRig, RigOwner } from '../../test/jobRig.js'
 import { targetHandlers } from '../sim/targetHandlers.js'
 import type { SimVm } from '../sim/simFleet.js'
@@ -67,11 +67,11 @@
   const rig = createJobRig()
   rig.orders = createOrdersClient({})
   const target = await addLossyTarget(t, rig, 't1')
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   t.teardown(() => rig.stop())
   const firstJob = makeJob({ ms: TASK_MS, cpu: 100 }, [{ count: 4 }])
   rig.submit(owner, firstJob)
-  t.true(await rig.settled([firstJob], 3000))
+  t.true(await rig.waitForOutcomes([firstJob], 3000))
   return { rig, owner, target }
 }
 
@@ -84,7 +84,7 @@
   const job = makeJob({ ms: TASK_MS, cpu: 100 }, steps)
   const submittedAt = monotonicMs()
   rig.submit(owner, job)
-  await rig.settled([job], 5000)
+  await rig.waitForOutcomes([job], 5000)
   const starts = rig.ledger.entries.filter(
     ({ what, task }) => what === 'start' && task.startsWith(job.id),
   )
@@ -112,7 +112,7 @@
       target.losses.set(START, 2)
       await timeToLastStart(rig, owner, [{ count: 4 }])
       await sleep(LATE_MS * 2)
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
     })
   })
 
--- a/playground/__tests__/node.spec.ts
+++ b/playground/__tests__/node.spec.ts
@@ -1,7 +1,7 @@
 import { readFileSync, writeFileSync } from 'node:fs'
 import { request } from 'undici'
 import { describe, it } from '../../test/describe.js'
-import { findBrokenPromise } from '../../test/jobRig.js'
+import { findGuaranteeViolation } from '../../test/jobRig.js'
 import { sleep } from '../../src/shared/index.js'
 import { startNodeProcess } from '../sim/nodeProcess.js'
 import type { NodeProcess } from '../sim/nodeProcess.js'
@@ -65,7 +65,7 @@
     pools: { one: 3, idle: 2 },
     halls: ['h1', 'h2'],
     capacity: { cpu: 8000, memMb: 32_000, gpu: 0 },
-    awayMs: 300,
+    offlineMs: 300,
   })
   platform.putConfiguration(ONE_QUEUE)
   const names = Array.from({ length: count }, (_, each) => `n${each + 1}`)
@@ -117,7 +117,7 @@
       await sleep(100)
     }
     t.is(states.size, total)
-    t.is(findBrokenPromise(platform.ledger), undefined)
+    t.is(findGuaranteeViolation(platform.ledger), undefined)
     t.deepEqual(killedRuns(platform), [])
     await Promise.all(alive().map((node) => node.kill()))
     await platform.close()
@@ -215,7 +215,7 @@
     }
     t.is(platform.waveStatus(1), 'completed')
     t.deepEqual(platform.maintained.map(({ vm }) => vm).sort(), ['m-1', 'm-2', 'm-4'])
-    t.is(findBrokenPromise(platform.ledger), undefined)
+    t.is(findGuaranteeViolation(platform.ledger), undefined)
     t.deepEqual(killedRuns(platform), [])
     await Promise.all(nodes.map((node) => node.kill('SIGTERM')))
     await platform.close()
--- a/playground/__tests__/thinLink.spec.ts
+++ b/playground/__tests__/thinLink.spec.ts
@@ -33,7 +33,7 @@
     pools: { one: 4, idle: 1 },
     halls: ['h1'],
     capacity: { cpu: 8000, memMb: 32_000, gpu: 0 },
-    awayMs: 300,
+    offlineMs: 300,
   })
   platform.putConfiguration(ONE_QUEUE)
   return platform
--- a/playground/__tests__/weakOwner.spec.ts
+++ b/playground/__tests__/weakOwner.spec.ts
@@ -72,7 +72,7 @@
     pools: { a: 3, b: 3, c: 3, d: 3, idle: 1 },
     halls: ['h1'],
     capacity: { cpu: 8000, memMb: 32_000, gpu: 0 },
-    awayMs: 300,
+    offlineMs: 300,
   })
   return platform
 }
--- a/playground/sim/simFleet.ts
+++ b/playground/sim/simFleet.ts
@@ -51,7 +51,7 @@
   table: RowTable
   ledger: RunLedger
   /** Duration of a move or maintenance, in ms. */
-  awayMs: number
+  offlineMs: number
 }): SimFleet {
   const { table, ledger } = opts
   const vms: SimVm[] = []
@@ -131,7 +131,7 @@
       const timer = setTimeout(() => {
         timers.delete(timer)
         startTarget(vm)
-      }, opts.awayMs)
+      }, opts.offlineMs)
       timers.add(timer)
     },
     close() {
--- a/playground/sim/simTarget.ts
+++ b/playground/sim/simTarget.ts
@@ -143,7 +143,7 @@
   /** Time from a stop order to the end of the run, in ms; 5 by default. */
   stopMs?: number
   /** Called when the target crashes. */
-  crashed?: () => void
+  onCrash?: () => void
 }): SimTarget {
   const { id, ledger } = opts
   const startedAt = monotonicMs()
@@ -237,7 +237,7 @@
     }
     runs.clear()
     faults.silent = true
-    opts.crashed?.()
+    opts.onCrash?.()
     // Ends pending long polls, like a connection reset.
     for (const wake of waiters.splice(0)) wake()
   }
--- a/playground/sim/wireServer.ts
+++ b/playground/sim/wireServer.ts
@@ -47,14 +47,14 @@
   /** Capacity of each VM. */
   capacity: Resources
   /** Duration of a move or maintenance, in ms. */
-  awayMs: number
+  offlineMs: number
 }
 
 /** Starts the stand-in with a server for the store, one for the cloud and one per VM. */
 export async function startSimPlatform(opts: SimPlatformOptions): Promise<SimPlatform> {
   const table = createRowTable()
   const ledger: RunLedger = { entries: [] }
-  const fleet = createSimFleet({ table, ledger, awayMs: opts.awayMs })
+  const fleet = createSimFleet({ table, ledger, offlineMs: opts.offlineMs })
   const { vms, maintained } = fleet
   const store = await listen(storeHandlers(table.forNode('any')))
   const cloud = await listen(cloudHandlers(fleet, Object.keys(opts.pools)))
--- a/playground/soak/setUp.ts
+++ b/playground/soak/setUp.ts
@@ -54,7 +54,7 @@
     pools: { one: plan.targets, two: plan.targets, idle: plan.idleVms },
     halls: HALLS,
     capacity: { cpu: 8000, memMb: 32_000, gpu: 0 },
-    awayMs: 1500,
+    offlineMs: 1500,
   })
   platform.putConfiguration(configurationOf(1))
   return platform
--- a/playground/target.ts
+++ b/playground/target.ts
@@ -21,9 +21,9 @@
   /** Accepts requests and never answers them. */
   hangs: boolean
   /** Closes the connection after half of each answer. */
-  breaksAnswers: boolean
+  truncatesAnswers: boolean
   /** Request bodies are read only after this has resolved. */
-  readsAfter: Promise<void> | undefined
+  readsBodiesAfter: Promise<void> | undefined
 }
 
 /** A running target. */
@@ -63,8 +63,8 @@
     meanMs: DEFAULT_MEAN_MS,
     failsAll: false,
     hangs: false,
-    breaksAnswers: false,
-    readsAfter: undefined,
+    truncatesAnswers: false,
+    readsBodiesAfter: undefined,
     ...opts.behaviour,
   }
   const waiting: (() => void)[] = []
@@ -99,7 +99,7 @@
     await acquireSlot()
     const id = String(req.headers[REQUEST_ID_HEADER] ?? '')
     ledger.set(id, (ledger.get(id) ?? 0) + 1)
-    await behaviour.readsAfter
+    await behaviour.readsBodiesAfter
     let received = 0
     for await (const chunk of req) received += (chunk as Buffer).length
     const ms = behaviour.meanMs === 0 ? 0 : exponential(opts.random, behaviour.meanMs)
@@ -129,7 +129,7 @@
     })
     const length = Buffer.byteLength(body)
     res.writeHead(200, { 'content-type': 'application/json', 'content-length': length })
-    if (!behaviour.breaksAnswers) return void res.end(body)
+    if (!behaviour.truncatesAnswers) return void res.end(body)
     res.write(body.slice(0, length / 2), () => res.destroy())
   }
 
--- a/src/entry/__tests__/entry.spec.ts
+++ b/src/entry/__tests__/entry.spec.ts
@@ -58,7 +58,7 @@
       const rig = await setUp(t)
       let letRead = () => {}
       const readsAfter = new Promise<void>((resolve) => (letRead = resolve))
-      await rig.addTarget('v1', { readsAfter })
+      await rig.addTarget('v1', { readsBodiesAfter: readsAfter })
       const chunk = Buffer.alloc(1024 * 1024)
       const chunks = 128
       let sent = 0
@@ -82,7 +82,7 @@
 
     it('closes the connection when the answer breaks off, without a retry', async (t) => {
       const rig = await setUp(t)
-      await rig.addTarget('v1', { breaksAnswers: true })
+      await rig.addTarget('v1', { truncatesAnswers: true })
       await t.throwsAsync(
         call(rig, '/s/x', { headers: { 'rillshunt-request-id': 'r1' } }),
       )
@@ -132,7 +132,7 @@
           () => undefined,
         ),
       )
-      await rig.until(() => rig.kernel.get('router').loads()[0]?.inFlight === 8)
+      await rig.waitUntil(() => rig.kernel.get('router').loads()[0]?.inFlight === 8)
       const headers = { 'rillshunt-deadline-ms': '50', 'rillshunt-request-id': 'late' }
       t.like(await call(rig, '/s/x', { headers }), { status: 504, outcome: 'not-run' })
       t.is(rig.ledger.get('late'), undefined)
@@ -146,7 +146,7 @@
       const { target } = await rig.addTarget('v1', { hangs: true })
       const headers = { 'rillshunt-request-id': 'r1' }
       const reply = call(rig, '/s/x', { method: 'POST', body: 'x', headers })
-      await rig.until(() => rig.ledger.get('r1') === 1)
+      await rig.waitUntil(() => rig.ledger.get('r1') === 1)
       await rig.addTarget('v2')
       await target.kill()
       t.like(await reply, { status: 502, outcome: 'unknown' })
@@ -158,7 +158,7 @@
       const { target } = await rig.addTarget('v1', { hangs: true })
       const headers = { 'rillshunt-request-id': 'r1' }
       const reply = call(rig, '/s/x', { headers })
-      await rig.until(() => rig.ledger.get('r1') === 1)
+      await rig.waitUntil(() => rig.ledger.get('r1') === 1)
       await rig.addTarget('v2')
       await target.kill()
       t.like(await reply, { status: 200, outcome: 'answered' })
@@ -180,7 +180,7 @@
       await rig.addTarget('v1', { meanMs: 200 })
       const headers = { 'rillshunt-request-id': 'r1' }
       const running = call(rig, '/s/x', { headers })
-      await rig.until(() => rig.ledger.has('r1'))
+      await rig.waitUntil(() => rig.ledger.has('r1'))
       await rig.setVm('v1', { state: 'leaving', generation: 2 })
       t.like(await call(rig, '/s/x'), { status: 503, outcome: 'not-run' })
       t.deepEqual(rig.kernel.get('view').leaving()[0]?.vm, 'v1')
@@ -192,7 +192,7 @@
       const { target } = await rig.addTarget('v1')
       rig.standIn.faults.outage = true
       target.drain()
-      await rig.until(() => rig.kernel.get('view').targets('s')[0]?.draining === true)
+      await rig.waitUntil(() => rig.kernel.get('view').targets('s')[0]?.draining === true)
       t.like(await call(rig, '/s/x'), { status: 503, outcome: 'not-run' })
     })
   })
@@ -234,7 +234,7 @@
       const replies = ids.map((id) =>
         call(rig, '/s/x', { headers: { 'rillshunt-request-id': id } }),
       )
-      await rig.until(() => ids.every((id) => rig.ledger.has(id)))
+      await rig.waitUntil(() => ids.every((id) => rig.ledger.has(id)))
       const stopped = rig.stop()
       for (const reply of await Promise.all(replies))
         t.like(reply, { outcome: 'answered' })
@@ -246,7 +246,7 @@
       const rig = await startRig({ requests: { drain_notice: '3s' } })
       t.is((await request(`${rig.opsUrl}/readyz`)).statusCode, 200)
       const stopped = rig.stop()
-      await rig.until(
+      await rig.waitUntil(
         async () => (await request(`${rig.opsUrl}/readyz`)).statusCode === 503,
       )
       t.like(await call(rig, '/s/x'), { status: 503 })
--- a/src/entry/__tests__/outcomes.spec.ts
+++ b/src/entry/__tests__/outcomes.spec.ts
@@ -142,9 +142,9 @@
       socket.write(
         'POST /s/continue HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nhalf',
       )
-      await rig.until(() => rig.kernel.get('router').open() === 1)
+      await rig.waitUntil(() => rig.kernel.get('router').open() === 1)
       socket.destroy()
-      await rig.until(() => rig.kernel.get('router').open() === 0)
+      await rig.waitUntil(() => rig.kernel.get('router').open() === 0)
       t.deepEqual(hits, [])
     })
 
@@ -156,7 +156,7 @@
       await new Promise((resolve) => socket.once('data', resolve))
       socket.pause()
       socket.destroy()
-      await rig.until(() => rig.kernel.get('router').open() === 0)
+      await rig.waitUntil(() => rig.kernel.get('router').open() === 0)
       for (const target of rig.kernel.get('view').targets('s')) t.is(target.inFlight, 0)
     })
   })
@@ -200,7 +200,7 @@
     socket.write(
       'POST /s/continue HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\ncontent-length: 4\r\nconnection: close\r\n\r\n',
     )
-    await rig.until(() => text.includes('100 Continue'))
+    await rig.waitUntil(() => text.includes('100 Continue'))
     socket.write('body')
     await new Promise((resolve) => socket.once('close', resolve))
     t.regex(text, /200 OK[\s\S]*rillshunt-outcome: answered[\s\S]*done/i)
--- a/src/scheduler/__tests__/cancelledRuns.spec.ts
+++ b/src/scheduler/__tests__/cancelledRuns.spec.ts
@@ -27,7 +27,7 @@
   it('is stopped when the target starts it late', async (t) => {
     const rig = createJobRig()
     const target = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     target.faults.lateMs = LATE_MS
     const job = makeJob({ ms: LONG_MS, cpu: 1000 }, [{ count: 1 }])
     rig.submit(owner, job)
@@ -41,13 +41,13 @@
   it('is stopped when the owner that started it is gone', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     const job = makeJob({ ms: LONG_MS, cpu: 1000 }, [{ count: 2 }])
     rig.submit(first, job)
     while (rig.ledger.entries.length < 2) await sleep(20)
     first.live = false
     await first.stop(false)
-    const second = await rig.own()
+    const second = await rig.startOwner()
     second.cancel(job.id)
     t.true(await allRunsStop(rig))
     await rig.stop()
@@ -56,14 +56,14 @@
   it('is stopped when it starts late and the owner that ordered it is gone', async (t) => {
     const rig = createJobRig()
     const target = rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     target.faults.lateMs = LATE_MS
     const job = makeJob({ ms: LONG_MS, cpu: 1000 }, [{ count: 1 }])
     rig.submit(first, job)
     await sleep(200)
     target.faults.lateMs = 0
     first.live = false
-    const second = await rig.own()
+    const second = await rig.startOwner()
     second.cancel(job.id)
     t.true(await allRunsStop(rig))
     await rig.stop()
--- a/src/scheduler/__tests__/crashingTasks.spec.ts
+++ b/src/scheduler/__tests__/crashingTasks.spec.ts
@@ -33,9 +33,9 @@
     addedCount++
     rig.addTarget(`life-${addedCount}`)
   }
-  rig.crashed = (id) => {
+  rig.onCrash = (id) => {
     rig.targets.delete(id)
-    rig.unlist(id)
+    rig.removeListEntry(id)
     minTargets = Math.min(minTargets, rig.targets.size)
     setTimeout(addTarget, restartMs).unref()
   }
@@ -58,23 +58,23 @@
 async function replaceOwner(rig: JobRig, owner: RigOwner): Promise<RigOwner> {
   owner.live = false
   await owner.stop(false)
-  return rig.own()
+  return rig.startOwner()
 }
 
 describe('task that crashes each target that starts it', () => {
   it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
 
   it('does not fail other jobs that run on the same targets', async (t) => {
     const rig = createCrashRig(t)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const others = Array.from({ length: 4 }, () =>
       makeJob({ ms: 700, cpu: 400 }, [{ count: 6 }]),
     )
@@ -86,17 +86,17 @@
       await sleep(150)
       if (crashing[index]) rig.submit(owner, crashing[index])
     }
-    t.true(await rig.settled([...others, ...crashing], 2 * SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([...others, ...crashing], 2 * SETTLE_TIMEOUT_MS))
     t.deepEqual([...new Set(others.map(rig.outcomeOf))], ['completed'])
     t.deepEqual([...new Set(crashing.map(rig.outcomeOf))], ['failed'])
   })
 
   it('leaves half of the targets up when all tasks of its step crash theirs', async (t) => {
     const rig = createCrashRig(t)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 700, cpu: 1000, crashMs: 5 }, [{ count: 8 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.minTargets() >= POOL_SIZE / 2)
   })
@@ -104,7 +104,7 @@
   it('fails after five starts at most although the owner changes after each crash', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
-    let owner = await rig.own()
+    let owner = await rig.startOwner()
     rig.submit(owner, job)
     for (let crashes = 1; crashes <= MAX_STARTS; crashes++) {
       const endsAt = performance.now() + SETTLE_TIMEOUT_MS
@@ -113,7 +113,7 @@
         await sleep(5)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -123,13 +123,13 @@
   it('fails after five starts at most', async (t) => {
     const rig = createCrashRig(t)
     const job = makeJob({ ms: 2000, cpu: 500, crashMs: 5 }, [{ count: 1 }])
-    let owner = await rig.own()
+    let owner = await rig.startOwner()
     rig.submit(owner, job)
     for (let changes = 1; changes <= 2; changes++) {
       while (rig.startsOf(`${job.id}.0.0.0`) < changes) await sleep(1)
       owner = await replaceOwner(rig, owner)
     }
-    t.true(await rig.settled([job], SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([job], SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'failed')
     t.true(rig.startsOf(`${job.id}.0.0.0`) <= MAX_STARTS)
   })
@@ -144,16 +144,16 @@
 
   it('all fail within 25 s', async (t) => {
     const rig = createCrashRig(t, POOL)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const crashing = makeCrashing(12)
     for (const job of crashing) rig.submit(owner, job)
-    t.true(await rig.settled(crashing, 25_000))
+    t.true(await rig.waitForOutcomes(crashing, 25_000))
     t.deepEqual([...new Set(crashing.map(rig.outcomeOf))], ['failed'])
   })
 
   it('do not hold up jobs that shared a target with them', async (t) => {
     const rig = createCrashRig(t, POOL)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const healthy = Array.from({ length: 12 }, () =>
       makeJob({ ms: 600, cpu: 800 }, [{ count: 3 }]),
     )
@@ -162,7 +162,7 @@
       rig.submit(owner, job)
       await sleep(50)
     }
-    t.true(await rig.settled(healthy, 10_000))
+    t.true(await rig.waitForOutcomes(healthy, 10_000))
     t.deepEqual([...new Set(healthy.map(rig.outcomeOf))], ['completed'])
   })
 })
@@ -172,7 +172,7 @@
     const rig = createJobRig()
     t.teardown(() => rig.stop())
     for (let each = 1; each <= 4; each++) rig.addTarget(`t${each}`)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 800, cpu: 500 }, [{ count: 1 }])
     rig.submit(owner, job)
     for (let cutOffs = 1; cutOffs <= 3; cutOffs++) {
@@ -181,7 +181,7 @@
       const cut = rig.targets.get(starts().at(-1)!.target)!
       cut.faults.silent = true
     }
-    t.true(await rig.settled([job], 2 * SETTLE_TIMEOUT_MS))
+    t.true(await rig.waitForOutcomes([job], 2 * SETTLE_TIMEOUT_MS))
     t.is(rig.outcomeOf(job), 'completed')
   })
 })
--- a/src/scheduler/__tests__/demand.spec.ts
+++ b/src/scheduler/__tests__/demand.spec.ts
@@ -1,5 +1,5 @@
 import { describe, it } from '../../../test/describe.js'
-import { createStillBook } from '../../../test/fixtures.js'
+import { createFrozenJobBook } from '../../../test/fixtures.js'
 import { jobSchema } from '../../jobs/index.js'
 import { createDemandMeter } from '../demand.js'
 import { createRunTimes } from '../runTimes.js'
@@ -22,7 +22,7 @@
 const STEP = { count: 4, cpu: 1000, estimateMs: 1000 }
 
 function startMeter(isTimely = true, isBehind = false, step: object = STEP) {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   const runTimes = createRunTimes()
   const demand = createDemandMeter({
     runTimes,
--- a/src/scheduler/__tests__/faultyTargets.spec.ts
+++ b/src/scheduler/__tests__/faultyTargets.spec.ts
@@ -1,6 +1,6 @@
 /** What an owner does with the tasks of targets that fail, are slow, stall, drain or disappear. */
 import { describe, it } from '../../../test/describe.js'
-import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
+import { createJobRig, findGuaranteeViolation, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
 describe('owner of a service with faulty or leaving targets', () => {
@@ -9,14 +9,14 @@
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
     rig.addTarget('t3')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     bad.faults.failsAll = true
     const jobs = Array.from({ length: 30 }, () => makeJob({ ms: 60, cpu: 900 }))
     for (const job of jobs) {
       rig.submit(owner, job)
       await sleep(25)
     }
-    t.true(await rig.settled(jobs, 8000))
+    t.true(await rig.waitForOutcomes(jobs, 8000))
     const failed = rig.ledger.entries.filter(({ what }) => what === 'failed')
     t.true(failed.length <= 8, `${failed.length} runs failed`)
     await rig.stop()
@@ -28,11 +28,11 @@
     const rig = createJobRig()
     const target = rig.addTarget('t1')
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     target.faults.percent = 15
     const job = makeJob({ ms: 2600, cpu: 400 }, [{ count: 6, estimateMs: 100 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     const stops = rig.ledger.entries.filter(({ what }) => what === 'stopped')
     t.deepEqual(stops, [])
     await rig.stop()
@@ -41,35 +41,35 @@
   it('restarts stalled tasks on another target', async (t) => {
     const rig = createJobRig()
     const bad = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     bad.faults.hangs = true
     const job = makeJob({ ms: 60, cpu: 900 })
     rig.submit(owner, job)
     await sleep(300)
     rig.addTarget('t2')
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.is(rig.outcomeOf(job), 'completed')
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
   it('moves lasting tasks off a draining target', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 0, cpu: 400 }, [{ count: 2, lasting: true, mayMiss: 1 }])
     rig.submit(owner, job)
     await sleep(300)
     rig.addTarget('t2')
     rig.addTarget('t1-again')
     rig.listed.set('t1', { ...rig.listed.get('t1')!, draining: true })
-    rig.unlist('t1-again')
+    rig.removeListEntry('t1-again')
     await sleep(4500)
     const elsewhere = rig.ledger.entries.filter(
       ({ target, what }) => target === 't2' && what === 'start',
     )
     t.is(elsewhere.length, 2)
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
@@ -78,15 +78,15 @@
     /** Starts three lasting tasks on `t1`, adds `t2` and removes `t1` from the list. */
     async function startLasting(listSteadySince: number) {
       const rig = createJobRig()
-      rig.listSteadySince = listSteadySince
+      rig.listGapFreeSince = listSteadySince
       rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       const job = makeJob({ ms: 0, cpu: 400 }, [{ count: 3, lasting: true, mayMiss: 1 }])
       rig.submit(owner, job)
       await sleep(400)
       rig.addTarget('t2')
       await sleep(200)
-      rig.unlist('t1')
+      rig.removeListEntry('t1')
       return rig
     }
     const stopsOf = ({ ledger }: ReturnType<typeof createJobRig>) =>
@@ -98,7 +98,7 @@
       t.deepEqual(stopsOf(rig), [])
       rig.addTarget('t3')
       rig.listed.set('t1', { ...rig.listed.get('t3')!, id: 't1', address: 't1:1' })
-      rig.unlist('t3')
+      rig.removeListEntry('t3')
       await sleep(1500)
       t.deepEqual(stopsOf(rig), [])
       await rig.stop()
@@ -114,7 +114,7 @@
         const before = stops[index - 1]
         if (before) t.true(stop.at - before.at > 1000, `${stop.at - before.at} ms`)
       }
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
       await rig.stop()
     })
   })
--- a/src/scheduler/__tests__/finishedJobs.spec.ts
+++ b/src/scheduler/__tests__/finishedJobs.spec.ts
@@ -45,11 +45,11 @@
 async function startWithSettled() {
   const rig = createJobRig()
   rig.addTarget('t1')
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   const job = makeJob({ ms: 20, cpu: 400 })
   rig.submit(owner, job)
   const { version } = rig.table.get(intakeKey(job.queue, job.id))!
-  await rig.settled([job], 3000)
+  await rig.waitForOutcomes([job], 3000)
   return { rig, owner, job, version }
 }
 
@@ -98,20 +98,20 @@
   // A node that is paused between the store's reply and its offer sends the offer much later.
   it('make the next owner ignore a late offer', async (t) => {
     const { rig, job, version } = await startWithEnded()
-    const next = await rig.own()
+    const next = await rig.startOwner()
     next.offer(job, version)
     await sleep(300)
     t.is(rig.ledger.entries.filter(({ what }) => what === 'start').length, 2)
     const fresh = makeJob({ ms: 20, cpu: 400 })
     rig.submit(next, fresh)
-    t.true(await rig.settled([fresh], 3000))
+    t.true(await rig.waitForOutcomes([fresh], 3000))
     await rig.stop()
   })
 
   it('are moved by the next owner if the previous one has not done so', async (t) => {
     const { rig, owner, job } = await startWithSettled()
     owner.live = false
-    await rig.own()
+    await rig.startOwner()
     await sleep(MOVE_DELAY_MS)
     t.deepEqual(rig.table.rows(INTAKE_TABLE), [])
     t.deepEqual(rig.table.rows(PROGRESS_TABLE), [])
@@ -124,7 +124,7 @@
     const progress = { done: {}, failedRuns: {}, checkpoints: {}, outcome: 'completed' }
     const key = { table: PROGRESS_TABLE, part: SERVICE, key: '00000000000000ff' }
     rig.table.put(key, JSON.stringify(progress))
-    await rig.own()
+    await rig.startOwner()
     await sleep(MOVE_DELAY_MS)
     t.deepEqual(rig.table.rows(PROGRESS_TABLE), [])
     await rig.stop()
--- a/src/scheduler/__tests__/foreignRows.spec.ts
+++ b/src/scheduler/__tests__/foreignRows.spec.ts
@@ -10,7 +10,7 @@
   CAPACITY,
   SERVICE,
   createJobRig,
-  findBrokenPromise,
+  findGuaranteeViolation,
   makeJob,
 } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
@@ -93,7 +93,10 @@
   }
 }
 
-const submitJobs = (rig: JobRig, owner: Awaited<ReturnType<JobRig['own']>>): JobSpec[] =>
+const submitJobs = (
+  rig: JobRig,
+  owner: Awaited<ReturnType<JobRig['startOwner']>>,
+): JobSpec[] =>
   [0, 1, 2, 3].map((each) => {
     const steps = each % 2 ? [{ count: 3 }, { count: 2, after: [0] }] : [{ count: 4 }]
     const job = makeJob({ ms: 60 + each * 50, cpu: 400 }, steps)
@@ -103,7 +106,7 @@
 
 /** The first problem at the end of a scenario; undefined if there is none. */
 async function findProblem(rig: JobRig, jobs: JobSpec[]): Promise<string | undefined> {
-  if (!(await rig.settled(jobs, 25_000))) {
+  if (!(await rig.waitForOutcomes(jobs, 25_000))) {
     const open = jobs
       .filter((job) => rig.outcomeOf(job) === undefined)
       .map(({ id }) => id)
@@ -117,7 +120,7 @@
   const invalidRows = rig.log.events.filter(({ name }) => name === 'rowInvalid')
   const tooLong = invalidRows.find(({ fields }) => JSON.stringify(fields).length > 1200)
   if (tooLong) return `a log event of ${JSON.stringify(tooLong).length} characters`
-  return findBrokenPromise(rig.ledger)
+  return findGuaranteeViolation(rig.ledger)
 }
 
 /** Steps that overwrite target entries and add entries under other keys. */
@@ -135,7 +138,7 @@
 async function runEntryScenario(steps: EntryStep): Promise<string | undefined> {
   const fixture = await startRig()
   const { rig } = fixture
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   const jobs = submitJobs(rig, owner)
   for (const { target, text, key, waitMs } of steps) {
     const id = TARGETS[target]!
@@ -192,16 +195,16 @@
 async function runRowScenario(steps: RowStep): Promise<string | undefined> {
   const fixture = await startRig()
   const { rig } = fixture
-  const first = await rig.own()
+  const first = await rig.startOwner()
   const jobs = submitJobs(rig, first)
   await sleep(150 + (steps[0]!.row % 5) * 60)
   first.live = false
   await first.stop(false)
   const restoreRows = corruptRows(rig, jobs, steps)
-  const second = await rig.own()
+  const second = await rig.startOwner()
   jobs.push(...submitJobs(rig, second))
   await sleep(2500)
-  const early = findBrokenPromise(rig.ledger)
+  const early = findGuaranteeViolation(rig.ledger)
   restoreRows()
   const problem = early ?? (await findProblem(rig, jobs))
   await fixture.stop()
--- a/src/scheduler/__tests__/lateOwner.spec.ts
+++ b/src/scheduler/__tests__/lateOwner.spec.ts
@@ -50,7 +50,7 @@
   const rig = createJobRig()
   rig.addTarget('t1')
   fillIntake(rig)
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   rig.table.faults.delayMs = CALL_MS
   try {
     await use(rig, owner)
@@ -109,7 +109,7 @@
   async function startInherited() {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     await sleep(300)
     first.live = false
     await first.stop(false)
@@ -123,7 +123,7 @@
   it('starts no job that was cancelled during the takeover read', async (t) => {
     const { rig, job } = await startInherited()
     rig.table.faults.delayMs = CALL_MS
-    const owner = await rig.beginOwning()
+    const owner = await rig.startOwnerWithoutWaiting()
     rig.table.put(cancelKey(job.queue, job.id), '{}')
     t.true(await until(() => owner.status(job.id) === 'cancelled', KNOWN_MS))
     await sleep(200)
@@ -133,7 +133,7 @@
 
   it('starts inherited jobs even if the store is unavailable', async (t) => {
     const { rig } = await startInherited()
-    await rig.own()
+    await rig.startOwner()
     rig.table.faults.down = true
     t.true(await until(() => rig.ledger.entries.length === 2, 6000))
     await rig.stop()
--- a/src/scheduler/__tests__/lostProgress.spec.ts
+++ b/src/scheduler/__tests__/lostProgress.spec.ts
@@ -38,7 +38,7 @@
     return access.store
   }
   rig.addTarget('t1')
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   t.teardown(() => rig.stop())
   const warm = makeJob({ ms: TASK_MS }, [{ count: 1 }])
   rig.submit(owner, warm)
--- a/src/scheduler/__tests__/lostStops.spec.ts
+++ b/src/scheduler/__tests__/lostStops.spec.ts
@@ -12,7 +12,7 @@
   const rig = createJobRig()
   t.teardown(() => rig.stop())
   const target = rig.addTarget('t1')
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   await sleep(200)
   target.faults.hangs = true
   target.faults.silent = startIsLost
--- a/src/scheduler/__tests__/model.spec.ts
+++ b/src/scheduler/__tests__/model.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, it } from '../../../test/describe.js'
-import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
+import { createJobRig, findGuaranteeViolation, makeJob } from '../../../test/jobRig.js'
 import type { JobRig, RigOwner } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
@@ -39,7 +39,7 @@
     target.crash()
     sim.dead.add(target.id)
     sim.rig.targets.delete(target.id)
-    sim.rig.unlist(target.id)
+    sim.rig.removeListEntry(target.id)
     sim.targets++
     sim.rig.addTarget(`t${sim.targets}`)
   },
@@ -76,7 +76,7 @@
     // The former owner's lease has expired: it continues in its grace period, or has stopped.
     sim.owner.confirmed = false
     if (pick % 2) sim.owner.live = false
-    sim.owner = await sim.rig.own(true)
+    sim.owner = await sim.rig.startOwner(true)
   },
   loseAnswers(sim: Simulation, pick: number) {
     sim.rig.table.faults.lostShare = 0.4
@@ -101,7 +101,7 @@
   let calls = 0
   rig.table.faults.random = () => ((calls++ * 7919) % 100) / 100
   for (const id of ['t1', 't2', 't3']) rig.addTarget(id)
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   const sim: Simulation = {
     rig,
     owner,
@@ -118,8 +118,8 @@
   ACTIONS.speak(sim)
   ACTIONS.wellAgain(sim)
   ACTIONS.storeWell(sim)
-  const settled = await rig.settled(sim.jobs, 30_000)
-  const broken = findBrokenPromise(rig.ledger, sim.dead, sim.silent)
+  const settled = await rig.waitForOutcomes(sim.jobs, 30_000)
+  const broken = findGuaranteeViolation(rig.ledger, sim.dead, sim.silent)
   await rig.stop()
   if (broken !== undefined) {
     const task = broken.split(' ')[0]
--- a/src/scheduler/__tests__/ownerTakeover.spec.ts
+++ b/src/scheduler/__tests__/ownerTakeover.spec.ts
@@ -1,7 +1,7 @@
 /** Guards against lost or repeated tasks whose runs an owner did not start or cannot observe. */
 import { ok } from 'neverthrow'
 import { describe, it } from '../../../test/describe.js'
-import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
+import { createJobRig, findGuaranteeViolation, makeJob } from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 import { NO_EVACUATION } from '../../vms/index.js'
 
@@ -15,23 +15,23 @@
       const rig = createJobRig()
       rig.addTarget('t1')
       rig.addTarget('t2')
-      const first = await rig.own()
+      const first = await rig.startOwner()
       const jobs = Array.from({ length: 10 }, () =>
         makeJob({ ms: 150, cpu: 400 }, [{ count: 2 }, { count: 2, after: [0] }]),
       )
       for (const job of jobs) rig.submit(first, job)
       await sleep(220)
-      const second = await rig.own()
-      t.true(await rig.settled(jobs, 5000))
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      const second = await rig.startOwner()
+      t.true(await rig.waitForOutcomes(jobs, 5000))
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
       t.is(rig.ledger.entries.filter(({ what }) => what === 'start').length, 40)
       // The former owner learns of the takeover at its next write or start, not before.
       const late = makeJob({ ms: 20, cpu: 400 })
       rig.submit(first, late)
-      t.true(await rig.settled([late], 5000))
+      t.true(await rig.waitForOutcomes([late], 5000))
       t.truthy(first.lostBecause)
       t.is(second.lostBecause, undefined)
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
       await rig.stop()
     })
 
@@ -40,20 +40,20 @@
       const rig = createJobRig()
       rig.addTarget('t1')
       rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       const job = makeJob({ ms: 20, cpu: 400 })
       rig.submit(owner, job)
       await sleep(400)
       t.deepEqual(rig.ledger.entries, [])
       owner.evacuate(NO_EVACUATION)
-      t.true(await rig.settled([job], 1000))
+      t.true(await rig.waitForOutcomes([job], 1000))
       await rig.stop()
     })
 
     it('waits until the leases of an unreachable target have expired', async (t) => {
       const rig = createJobRig()
       const cut = rig.addTarget('t1')
-      const first = await rig.own()
+      const first = await rig.startOwner()
       cut.faults.hangs = true
       const job = makeJob({ ms: 50, cpu: 400 }, [{ count: 2 }])
       rig.submit(first, job)
@@ -61,9 +61,9 @@
       cut.faults.silent = true
       first.live = false
       rig.addTarget('t2')
-      await rig.own()
-      t.true(await rig.settled([job], 15_000))
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      await rig.startOwner()
+      t.true(await rig.waitForOutcomes([job], 15_000))
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
       const again = rig.ledger.entries.filter(({ target }) => target === 't2')
       t.true(again.some(({ what }) => what === 'start'))
       await rig.stop()
@@ -74,7 +74,7 @@
     const rig = createJobRig()
     const lost = rig.addTarget('t1')
     rig.cloud = { list: async () => ok([]), move: failIfCalled, maintain: failIfCalled }
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     owner.evacuate(NO_EVACUATION)
     rig.submit(owner, makeJob({ ms: 0, cpu: 400 }, [{ count: 1 }]))
     await sleep(300)
@@ -89,12 +89,12 @@
   it('starts a task again once the lease of a silent target has expired', async (t) => {
     const rig = createJobRig()
     const left = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 0, cpu: 400 }, [{ count: 1, lasting: true }])
     rig.submit(owner, job)
     await sleep(300)
     left.crash()
-    rig.unlist('t1')
+    rig.removeListEntry('t1')
     rig.addTarget('t2')
     await sleep(7500)
     const again = rig.ledger.entries.filter(({ target }) => target === 't2')
@@ -107,7 +107,7 @@
   it('gives up no run while it has no contact with the store', async (t) => {
     const rig = createJobRig()
     const silent = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.submit(owner, makeJob({ ms: 0, cpu: 400 }, [{ count: 1 }]))
     await sleep(300)
     owner.confirmed = false
--- a/src/scheduler/__tests__/pacedUrgencies.spec.ts
+++ b/src/scheduler/__tests__/pacedUrgencies.spec.ts
@@ -1,5 +1,5 @@
 import { describe, it } from '../../../test/describe.js'
-import { createStillBook } from '../../../test/fixtures.js'
+import { createFrozenJobBook } from '../../../test/fixtures.js'
 import { QUEUE, makeJob } from '../../../test/jobRig.js'
 import type { Job } from '../../jobs/index.js'
 import { createRunTimes } from '../runTimes.js'
@@ -12,7 +12,7 @@
   count: number,
   prepare: (jobs: Job[]) => void = () => undefined,
 ) {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   const jobs = Array.from({ length: count }, () =>
     book.add(makeJob({ ms: 500 }, [{ count: 4 }])),
   )
--- a/src/scheduler/__tests__/planner.spec.ts
+++ b/src/scheduler/__tests__/planner.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, it } from '../../../test/describe.js'
-import { createStillBook } from '../../../test/fixtures.js'
+import { createFrozenJobBook } from '../../../test/fixtures.js'
 import { QUEUE, makeJob } from '../../../test/jobRig.js'
 import type { Job, JobSpec } from '../../jobs/index.js'
 import { UNRESTRICTED_POLICY } from '../placementRules.js'
@@ -36,7 +36,7 @@
 }
 
 function readyOf(jobs: JobSpec[]) {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   for (const job of jobs) book.add(job)
   return book.ready
 }
--- a/src/scheduler/__tests__/refusedDemand.spec.ts
+++ b/src/scheduler/__tests__/refusedDemand.spec.ts
@@ -19,7 +19,7 @@
 ): Promise<void> {
   const rig = createJobRig()
   rig.addTarget('t1')
-  await use(await rig.own(), rig)
+  await use(await rig.startOwner(), rig)
   await rig.stop()
 }
 
@@ -41,7 +41,7 @@
       owner.expect(job!)
       t.is(owner.status(job!.id), undefined)
       t.is(owner.waiting(job!.queue), 0)
-      t.false(await rig.settled([job!], 300))
+      t.false(await rig.waitForOutcomes([job!], 300))
       t.deepEqual(rig.ledger.entries, [])
     })
   })
@@ -62,7 +62,7 @@
       const job = makeJob({ ms: 10, cpu: 2000 }, [{ count: 1 }])
       owner.expect(job)
       rig.submit(owner, job)
-      t.true(await rig.settled([job], 2000))
+      t.true(await rig.waitForOutcomes([job], 2000))
       t.is(rig.outcomeOf(job), 'completed')
     })
   })
--- a/src/scheduler/__tests__/restartedTargets.spec.ts
+++ b/src/scheduler/__tests__/restartedTargets.spec.ts
@@ -1,6 +1,6 @@
 import type { ExecutionContext } from 'ava'
 import { describe, it } from '../../../test/describe.js'
-import { createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
+import { createJobRig, findGuaranteeViolation, makeJob } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
 import { monotonicMs, sleep } from '../../shared/index.js'
 
@@ -16,10 +16,10 @@
   const rig = createJobRig()
   t.teardown(() => rig.stop())
   for (const id of ids) rig.addTarget(id, {}, { initialClockMs: LONG_UPTIME_MS })
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   const finished = makeJob({ ms: 20 }, [{ count: 12 }])
   rig.submit(owner, finished)
-  t.true(await rig.settled([finished], 5000))
+  t.true(await rig.waitForOutcomes([finished], 5000))
   return { rig, owner }
 }
 
@@ -40,9 +40,9 @@
     await restartTarget(rig, 't1')
     const job = makeJob({ ms: 50 }, [{ count: 4 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 5000))
+    t.true(await rig.waitForOutcomes([job], 5000))
     t.is(countStarts(rig, job.id), 4)
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
   })
 
   it('gets its lasting tasks again', async (t) => {
@@ -64,7 +64,7 @@
     rig.addTarget('t1')
     const job = makeJob({ ms: 20 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], RECOVERY_LIMIT_MS))
+    t.true(await rig.waitForOutcomes([job], RECOVERY_LIMIT_MS))
   })
 
   it('gets no tasks before its new incarnation is listed', async (t) => {
@@ -72,13 +72,13 @@
     const oldEntry = rig.listed.get('t1')!
     await restartTarget(rig, 't1')
     const newEntry = rig.listed.get('t1')!
-    rig.relist(oldEntry)
+    rig.setListEntry(oldEntry)
     const job = makeJob({ ms: 20 }, [{ count: 1 }])
     rig.submit(owner, job)
     await sleep(2000)
     t.is(countStarts(rig, job.id), 0)
-    rig.relist(newEntry)
-    t.true(await rig.settled([job], RECOVERY_LIMIT_MS))
+    rig.setListEntry(newEntry)
+    t.true(await rig.waitForOutcomes([job], RECOVERY_LIMIT_MS))
   })
 
   it('keeps its runs when a VM order is reported to have ended its earlier incarnation', async (t) => {
@@ -90,8 +90,8 @@
     while (countStarts(rig, job.id) < 2) await sleep(5)
     rig.targets.get('t2')!.faults.silent = false
     owner.evacuate({ evacuate: [], hurry: [], ended: ['t1'] })
-    t.true(await rig.settled([job], 10_000))
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.true(await rig.waitForOutcomes([job], 10_000))
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
   })
 
   it('runs a task that a late order for its earlier incarnation starts, and no other target does', async (t) => {
@@ -105,8 +105,8 @@
     await sleep(150)
     await restartTarget(rig, 't1')
     rig.targets.get('t2')!.faults.silent = false
-    t.true(await rig.settled([job], 12_000))
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.true(await rig.waitForOutcomes([job], 12_000))
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
   })
 })
 
@@ -116,13 +116,13 @@
     const rig = createJobRig()
     t.teardown(() => rig.stop())
     const target = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.targets.delete('t1')
     while (!rig.log.events.some(({ name }) => name === 'targetGone')) await sleep(5)
     rig.targets.set('t1', target)
     const job = makeJob({ ms: 20 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 12_000))
+    t.true(await rig.waitForOutcomes([job], 12_000))
     t.is(rig.outcomeOf(job), 'completed')
   })
 })
--- a/src/scheduler/__tests__/roomLimits.spec.ts
+++ b/src/scheduler/__tests__/roomLimits.spec.ts
@@ -14,7 +14,7 @@
   const rig = createJobRig()
   t.teardown(() => rig.stop())
   const target = rig.addTarget('t1', {}, { enforcesCapacity: false, stopMs: STOP_MS })
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   return { rig, owner, target }
 }
 
@@ -41,7 +41,7 @@
     owner.cancel(first.id)
     const next = makeJob({ ms: 50, cpu: TASK_CPU }, [{ count: 4 }])
     rig.submit(owner, next)
-    t.true(await rig.settled([next], 5000))
+    t.true(await rig.waitForOutcomes([next], 5000))
     t.is(peakCpu(rig), CAPACITY.cpu)
   })
 
@@ -53,11 +53,11 @@
     while (startCount(rig) < 4) await sleep(5)
     owner.live = false
     owner.cancel(first.id)
-    t.true(await rig.settled([first], 2000))
-    const nextOwner = await rig.own()
+    t.true(await rig.waitForOutcomes([first], 2000))
+    const nextOwner = await rig.startOwner()
     const next = makeJob({ ms: 50, cpu: TASK_CPU }, [{ count: 4 }])
     rig.submit(nextOwner, next)
-    t.true(await rig.settled([next], 5000))
+    t.true(await rig.waitForOutcomes([next], 5000))
     t.is(peakCpu(rig), CAPACITY.cpu)
   })
 
@@ -66,11 +66,11 @@
     const first = makeJob({ ms: 300, cpu: TASK_CPU }, [{ count: 4 }])
     rig.submit(owner, first)
     while (startCount(rig) < 4) await sleep(5)
-    rig.resize('t1', { ...CAPACITY, cpu: 2 * TASK_CPU })
+    rig.setListedCapacity('t1', { ...CAPACITY, cpu: 2 * TASK_CPU })
     const entriesBeforeResize = rig.ledger.entries.length
     const next = makeJob({ ms: 100, cpu: TASK_CPU }, [{ count: 6 }])
     rig.submit(owner, next)
-    t.true(await rig.settled([first, next], 5000))
+    t.true(await rig.waitForOutcomes([first, next], 5000))
     let used = 4 * TASK_CPU
     for (const { what } of rig.ledger.entries.slice(entriesBeforeResize)) {
       used += what === 'start' ? TASK_CPU : -TASK_CPU
@@ -80,12 +80,12 @@
 
   it('gets more starts after its capacity is restored', async (t) => {
     const { rig, owner } = await startOwner(t)
-    rig.resize('t1', { ...CAPACITY, cpu: TASK_CPU })
+    rig.setListedCapacity('t1', { ...CAPACITY, cpu: TASK_CPU })
     const job = makeJob({ ms: 0, cpu: TASK_CPU }, [{ count: 4, lasting: true }])
     rig.submit(owner, job)
     await sleep(300)
     t.is(startCount(rig), 1)
-    rig.resize('t1', CAPACITY)
+    rig.setListedCapacity('t1', CAPACITY)
     while (startCount(rig) < 4) await sleep(5)
     t.pass()
   })
--- a/src/scheduler/__tests__/runMonitor.spec.ts
+++ b/src/scheduler/__tests__/runMonitor.spec.ts
@@ -1,6 +1,6 @@
 /** Detection of stalled and slow runs, and of the cause: the target or the job. */
 import { describe, it } from '../../../test/describe.js'
-import { createStillBook } from '../../../test/fixtures.js'
+import { createFrozenJobBook } from '../../../test/fixtures.js'
 import { makeJob } from '../../../test/jobRig.js'
 import type { Task } from '../../jobs/index.js'
 import { createMemoryLogger } from '../../shared/index.js'
@@ -14,7 +14,7 @@
 const USUAL_MS = 1000
 
 function newTasks(count: number): Task[] {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   return book.add(makeJob({ cpu: 100 }, [{ count }])).occurrences[0]!.steps[0]!.tasks
 }
 
--- a/src/scheduler/__tests__/serviceOwner.spec.ts
+++ b/src/scheduler/__tests__/serviceOwner.spec.ts
@@ -1,5 +1,10 @@
 import { describe, it } from '../../../test/describe.js'
-import { QUEUE, createJobRig, findBrokenPromise, makeJob } from '../../../test/jobRig.js'
+import {
+  QUEUE,
+  createJobRig,
+  findGuaranteeViolation,
+  makeJob,
+} from '../../../test/jobRig.js'
 import { sleep } from '../../shared/index.js'
 
 describe('createServiceOwner', () => {
@@ -7,10 +12,10 @@
     const rig = createJobRig()
     rig.addTarget('t1')
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 20, cpu: 1000 }, [{ count: 6 }, { count: 3, after: [0] }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 3000))
+    t.true(await rig.waitForOutcomes([job], 3000))
     t.is(rig.outcomeOf(job), 'completed')
     t.is(owner.status(job.id), 'completed')
     const starts = rig.ledger.entries.filter(({ what }) => what === 'start')
@@ -22,7 +27,7 @@
       ({ task, what }) => /\.0\.0\.\d$/.test(task) && what === 'done',
     )
     t.true(lastOfFirst < firstOfSecond)
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
@@ -31,10 +36,10 @@
     it('includes a job whose start has been ordered but not answered', async (t) => {
       const rig = createJobRig()
       const target = rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       const first = makeJob({ ms: 20, cpu: 1000 }, [{ count: 1 }])
       rig.submit(owner, first)
-      t.true(await rig.settled([first], 3000))
+      t.true(await rig.waitForOutcomes([first], 3000))
       target.faults.silent = true
       rig.submit(owner, makeJob({ ms: 20, cpu: 1000 }, [{ count: 1 }]))
       await sleep(300)
@@ -45,13 +50,13 @@
     it('includes a job that arrives while the ownership is not confirmed', async (t) => {
       const rig = createJobRig()
       rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       owner.confirmed = false
       const job = makeJob({ ms: 20, cpu: 1000 }, [{ count: 1 }])
       rig.submit(owner, job)
       t.is(owner.waiting(QUEUE.name), 1)
       owner.confirmed = true
-      t.true(await rig.settled([job], 3000))
+      t.true(await rig.waitForOutcomes([job], 3000))
       t.is(owner.waiting(QUEUE.name), 0)
       await rig.stop()
     })
@@ -60,10 +65,10 @@
   it('fails a job only after its task has failed as often as allowed', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 5, cpu: 1000, fail: true }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 3000))
+    t.true(await rig.waitForOutcomes([job], 3000))
     t.is(rig.outcomeOf(job), 'failed')
     t.is(rig.ledger.entries.filter(({ what }) => what === 'failed').length, 2)
     await rig.stop()
@@ -72,13 +77,13 @@
   it('stops the runs of a cancelled job and starts no more of them', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 0, cpu: 1000 }, [{ count: 3, lasting: true }])
     rig.submit(owner, job)
     const starts = () => rig.ledger.entries.filter(({ what }) => what === 'start')
     while (starts().length < 3) await sleep(10)
     t.true(owner.cancel(job.id))
-    t.true(await rig.settled([job], 2000))
+    t.true(await rig.waitForOutcomes([job], 2000))
     await sleep(300)
     t.is(starts().length, 3)
     t.is(rig.ledger.entries.filter(({ what }) => what === 'stopped').length, 3)
@@ -89,7 +94,7 @@
     it('is not repeated while it may still be carried out', async (t) => {
       const rig = createJobRig()
       const late = rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       await sleep(100)
       late.faults.lateMs = 150
       rig.addTarget('t2')
@@ -97,8 +102,8 @@
       for (const job of jobs) rig.submit(owner, job)
       await sleep(500)
       late.faults.lateMs = 0
-      t.true(await rig.settled(jobs, 12_000))
-      t.is(findBrokenPromise(rig.ledger), undefined)
+      t.true(await rig.waitForOutcomes(jobs, 12_000))
+      t.is(findGuaranteeViolation(rig.ledger), undefined)
       await rig.stop()
     })
   })
@@ -107,14 +112,14 @@
   it('starts no task of a job that was cancelled before it was admitted', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     await sleep(200)
     owner.confirmed = false
     const job = makeJob({ ms: 60, cpu: 900 })
     rig.submit(owner, job)
     owner.cancel(job.id)
     owner.confirmed = true
-    t.true(await rig.settled([job], 3000))
+    t.true(await rig.waitForOutcomes([job], 3000))
     t.is(rig.outcomeOf(job), 'cancelled')
     t.deepEqual(rig.ledger.entries, [])
     await rig.stop()
@@ -123,7 +128,7 @@
   it('keeps its ownership when a commit is applied late', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     let calls = 0
     rig.table.faults.lateMs = 250
     rig.table.faults.lostShare = 0.5
@@ -133,7 +138,7 @@
       rig.submit(owner, job)
       await sleep(30)
     }
-    t.true(await rig.settled(jobs, 8000))
+    t.true(await rig.waitForOutcomes(jobs, 8000))
     await sleep(400)
     for (const job of jobs) t.is(rig.outcomeOf(job), 'completed')
     t.is(owner.lostBecause, undefined)
--- a/src/scheduler/__tests__/slowLinks.spec.ts
+++ b/src/scheduler/__tests__/slowLinks.spec.ts
@@ -19,15 +19,15 @@
   it('does not delay a task that another target has room for', async (t) => {
     const rig = createJobRig()
     const late = rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const first = makeJob({ ms: 50, cpu: 100 }, [{ count: 1 }])
     rig.submit(owner, first)
-    t.true(await rig.settled([first], DONE_MS))
+    t.true(await rig.waitForOutcomes([first], DONE_MS))
     rig.addTarget('t2')
     late.faults.delayMs = 300
     const warm = makeJob({ ms: 50, cpu: 100 }, [{ count: 1 }])
     rig.submit(owner, warm)
-    t.true(await rig.settled([warm], DONE_MS))
+    t.true(await rig.waitForOutcomes([warm], DONE_MS))
     // The first job fills the order queue of the slow target, which is in use; the second follows.
     const [many, next] = [14, 2].map((count) =>
       makeJob({ ms: 800, cpu: 100 }, [{ count }]),
@@ -37,17 +37,17 @@
     rig.submit(owner, next!)
     await sleep(BEGUN_MS)
     t.true(rig.ledger.entries.some(({ task }) => task.startsWith(next!.id)))
-    t.true(await rig.settled([many!, next!], DONE_MS))
+    t.true(await rig.waitForOutcomes([many!, next!], DONE_MS))
     await rig.stop()
   })
 
   it('gets all tasks in turn if it is the only one', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1').faults.delayMs = 100
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 50, cpu: 100 }, [{ count: 30 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 8000))
+    t.true(await rig.waitForOutcomes([job], 8000))
     await rig.stop()
   })
 })
--- a/src/scheduler/__tests__/stalledJobs.spec.ts
+++ b/src/scheduler/__tests__/stalledJobs.spec.ts
@@ -64,12 +64,12 @@
     rig.submit(owner, job)
     await sleep(20)
   }
-  await rig.settled(jobs, 5000)
+  await rig.waitForOutcomes(jobs, 5000)
 }
 
 /** Starts an owner that has learned that its queue's tasks take 60 ms. */
 async function ownWithRunTimes(rig: JobRig): Promise<RigOwner> {
-  const owner = await rig.own()
+  const owner = await rig.startOwner()
   await submitMany(rig, owner, 10, 60)
   return owner
 }
@@ -79,14 +79,14 @@
     it('are tried again within 3 s of failures of other jobs', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       target.faults.failsAll = true
       await submitUntilSuspect(rig, owner)
       target.faults.failsAll = false
       const job = makeJob({ ms: 40, cpu: 400 })
       const since = monotonicMs()
       rig.submit(owner, job)
-      await rig.settled([job], 8000)
+      await rig.waitForOutcomes([job], 8000)
       t.is(rig.outcomeOf(job), 'completed')
       t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
@@ -94,20 +94,20 @@
     it('are tried repeatedly while the target keeps failing', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       target.faults.failsAll = true
       await submitUntilSuspect(rig, owner)
       const jobs = [makeJob({ ms: 40, cpu: 400 }), makeJob({ ms: 40, cpu: 400 })]
       const since = monotonicMs()
       for (const job of jobs) rig.submit(owner, job)
-      t.true(await rig.settled(jobs, 10_000))
+      t.true(await rig.waitForOutcomes(jobs, 10_000))
       for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
     })
 
     it('are not stopped as stalled without another target', async (t) => {
       const rig = startRig(t)
       const target = rig.addTarget('t1')
-      const owner = await rig.own()
+      const owner = await rig.startOwner()
       target.faults.hangs = true
       const job = makeJob({ ms: 60, cpu: 400 })
       const since = monotonicMs()
@@ -151,7 +151,7 @@
         rig.submit(owner, makeJob({ ms: 60, cpu: 400 }, [{ count: 2 }]))
         await sleep(100)
       }
-      t.true(await rig.settled([long], 8000))
+      t.true(await rig.waitForOutcomes([long], 8000))
       const stops = rig.ledger.entries.filter(({ what }) => what === 'stopped')
       t.deepEqual(stops, [])
       t.deepEqual(rig.suspects(), [])
@@ -165,7 +165,7 @@
       const long = makeJob({ ms: 4500, cpu: 900 }, [{ count: 4 }])
       const since = monotonicMs()
       rig.submit(owner, long)
-      t.true(await rig.settled([long], 16_000))
+      t.true(await rig.waitForOutcomes([long], 16_000))
       t.true(longestStall(rig, long, since) < MAX_STALL_MS)
     })
   })
@@ -194,14 +194,14 @@
     const rig = startRig(t)
     const bad = rig.addTarget('t1', { labels: ['r1-1', 'x'] })
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     bad.faults.failsAll = true
     const since = monotonicMs()
     const jobs = [0, 1, 2].map(() =>
       makeJob({ ms: 40, cpu: 400 }, [{ count: 2, label: 'x' }]),
     )
     for (const job of jobs) rig.submit(owner, job)
-    t.true(await rig.settled(jobs, 10_000))
+    t.true(await rig.waitForOutcomes(jobs, 10_000))
     for (const job of jobs) t.true(longestStall(rig, job, since) < MAX_STALL_MS)
   })
 
@@ -209,19 +209,19 @@
     const rig = startRig(t)
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     await sleep(200)
     bad.faults.failsAll = true
     const job = makeJob({ ms: 40, cpu: 400 }, [{ count: 1 }])
     rig.submit(owner, job)
-    t.true(await rig.settled([job], 5000))
+    t.true(await rig.waitForOutcomes([job], 5000))
     t.is(rig.outcomeOf(job), 'completed')
   })
 
   it('do not make targets suspect if they fail on every target', async (t) => {
     const rig = startRig(t)
     for (const id of ['t1', 't2', 't3']) rig.addTarget(id)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const bad = Array.from({ length: 8 }, () =>
       makeJob({ ms: 60, cpu: 900, fail: true }, [{ count: 2 }]),
     )
@@ -233,7 +233,7 @@
       rig.submit(owner, other)
       await sleep(150)
     }
-    t.true(await rig.settled([...bad, ...sound], 8000))
+    t.true(await rig.waitForOutcomes([...bad, ...sound], 8000))
     t.deepEqual(rig.suspects(), [])
     for (const job of sound) t.is(rig.outcomeOf(job), 'completed')
   })
@@ -242,7 +242,7 @@
     const rig = startRig(t)
     const bad = rig.addTarget('t1')
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     await sleep(200)
     bad.faults.failsAll = true
     await submitUntilSuspect(rig, owner)
--- a/src/scheduler/__tests__/suspicion.spec.ts
+++ b/src/scheduler/__tests__/suspicion.spec.ts
@@ -1,6 +1,6 @@
 /** How a target becomes suspect, and how it is cleared. */
 import { describe, it } from '../../../test/describe.js'
-import { createStillBook } from '../../../test/fixtures.js'
+import { createFrozenJobBook } from '../../../test/fixtures.js'
 import { makeJob } from '../../../test/jobRig.js'
 import type { Task } from '../../jobs/index.js'
 import { createMemoryLogger } from '../../shared/index.js'
@@ -11,7 +11,7 @@
 
 /** Returns the tasks of a new job, none of which has begun. */
 function newTasks(): Task[] {
-  const book = createStillBook()
+  const book = createFrozenJobBook()
   return book.add(makeJob({ cpu: 100 }, [{ count: 4 }])).occurrences[0]!.steps[0]!.tasks
 }
 
--- a/src/scheduler/__tests__/takeoverReading.spec.ts
+++ b/src/scheduler/__tests__/takeoverReading.spec.ts
@@ -35,7 +35,7 @@
 /** Starts a job on `t1` and stops its owner while the tasks run. */
 async function leaveRunningJob(rig: JobRig, ms: number): Promise<JobSpec> {
   rig.addTarget('t1')
-  const first = await rig.own()
+  const first = await rig.startOwner()
   const job = makeJob({ ms, cpu: 1000 })
   rig.submit(first, job)
   await until(() => startsOf(rig, job) === 2)
@@ -52,11 +52,11 @@
     putJob(rig, known)
     putJob(rig, missing)
     rig.table.faults.refusedParts.add(partOf(missing))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     t.true(await until(() => startsOf(rig, known) === 2))
     t.is(startsOf(rig, missing), 0)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([known, missing], START_LIMIT_MS))
+    t.true(await rig.waitForOutcomes([known, missing], START_LIMIT_MS))
     await rig.stop()
   })
 
@@ -66,12 +66,12 @@
     const [missing, later] = [makeJob({ ms: 100 }), makeJob({ ms: 100 })]
     putJob(rig, missing)
     rig.table.faults.refusedParts.add(partOf(missing))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     await sleep(300)
     putJob(rig, later)
     t.true(await until(() => startsOf(rig, later) === 2))
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([missing, later], START_LIMIT_MS))
+    t.true(await rig.waitForOutcomes([missing, later], START_LIMIT_MS))
     await rig.stop()
   })
 
@@ -79,10 +79,10 @@
     const rig = createJobRig()
     const job = await leaveRunningJob(rig, 2500)
     rig.table.faults.refusedParts.add(partOf(job))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     await sleep(1500)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.deepEqual(
       rig.ledger.entries.map(({ what }) => what),
       ['start', 'start', 'done', 'done'],
@@ -95,14 +95,14 @@
     const job = await leaveRunningJob(rig, 600)
     const { part } = intakeKey(job.queue, job.id)
     rig.table.faults.refusedParts.add(part)
-    const second = await rig.beginOwning()
+    const second = await rig.startOwnerWithoutWaiting()
     await sleep(1500)
     // The owner is superseded before it has read the job.
     second.live = false
     await second.stop(false)
     rig.table.faults.refusedParts.clear()
-    await rig.own()
-    t.true(await rig.settled([job], 6000))
+    await rig.startOwner()
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.is(startsOf(rig, job), 2)
     await rig.stop()
   })
@@ -113,13 +113,13 @@
     // Two tasks of 1,000 each run on the target, which has 4,000: three more do not fit.
     const next = makeJob({ ms: 100, cpu: 1000 }, [{ count: 4 }])
     rig.table.faults.refusedParts.add(partOf(job))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     await sleep(300)
     putJob(rig, next)
     await sleep(1500)
     t.is(startsOf(rig, next), 0)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([job, next], 8000))
+    t.true(await rig.waitForOutcomes([job, next], 8000))
     t.is(startsOf(rig, job), 2)
     await rig.stop()
   })
@@ -127,7 +127,7 @@
   it('starts no job of a queue without a row, which a successor would not read first', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.table.faults.delayMs = 300
     const job = makeJob({ ms: 100 })
     rig.submit(owner, job)
@@ -140,7 +140,7 @@
   it('does not repeat finished tasks', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     const job = makeJob({ ms: 100, cpu: 1000 }, [{ count: 2 }, { count: 1, after: [0] }])
     rig.submit(first, job)
     const key = progressKey(SERVICE, job.id)
@@ -152,13 +152,13 @@
     first.live = false
     await first.stop(false)
     rig.table.faults.refusedParts.add(partOf(job))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     await sleep(500)
     // Written again, as an owner does to restore an unreadable row: the job is not a new one.
     putJob(rig, job)
     await sleep(1500)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.is(startsOf(rig, job), 3)
     await rig.stop()
   })
@@ -170,7 +170,7 @@
   it('keeps the progress of jobs that it reads last', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     const job = makeJob({ ms: 100, cpu: 1000 }, [{ count: 2 }, { count: 1, after: [0] }])
     rig.submit(first, job)
     t.true(await until(() => startsOf(rig, job) === 3))
@@ -178,10 +178,10 @@
     await first.stop(false)
     rig.table.remove({ table: QUEUES_TABLE, part: SERVICE, key: job.queue })
     rig.table.faults.refusedParts.add(partOf(job))
-    await rig.beginOwning()
+    await rig.startOwnerWithoutWaiting()
     await sleep(3500)
     rig.table.faults.refusedParts.clear()
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.is(rig.outcomeOf(job), 'completed')
     const doneFirst = rig.ledger.entries.filter(
       ({ what, task }) => what === 'start' && task.startsWith(`${job.id}.0.0.`),
@@ -197,7 +197,7 @@
     const job = makeJob({ ms: 100 })
     putJob(rig, job)
     rig.table.faults.refusedParts.add(partOf(job))
-    const owner = await rig.beginOwning()
+    const owner = await rig.startOwnerWithoutWaiting()
     await sleep(500)
     t.is(owner.waiting(job.queue), undefined)
     rig.table.faults.refusedParts.clear()
@@ -208,7 +208,7 @@
   // An outdated read of the store gives too low a number: 53 where 124 had waited for 5 s.
   it('is not reported by an owner that has not read the store recently', async (t) => {
     const rig = createJobRig()
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 100 })
     rig.submit(owner, job)
     t.true(await until(() => owner.waiting(job.queue) === 1))
--- a/src/scheduler/__tests__/unreadableRows.spec.ts
+++ b/src/scheduler/__tests__/unreadableRows.spec.ts
@@ -3,7 +3,7 @@
 import {
   SERVICE,
   createJobRig,
-  findBrokenPromise,
+  findGuaranteeViolation,
   makeJob,
 } from '../../../test/jobRig.js'
 import type { JobRig } from '../../../test/jobRig.js'
@@ -31,7 +31,7 @@
   const rig = createJobRig()
   rig.addTarget('t1')
   rig.addTarget('t2')
-  const first = await rig.own()
+  const first = await rig.startOwner()
   const job = makeJob({ ms: 30, cpu: 400 }, [{ count: 4 }, { count: 2, after: [0] }])
   for (const target of rig.targets.values()) target.faults.hangs = false
   rig.submit(first, job)
@@ -65,9 +65,9 @@
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
     const other = makeJob({ ms: 30, cpu: 400 })
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.submit(owner, other)
-    t.true(await rig.settled([other], 3000))
+    t.true(await rig.waitForOutcomes([other], 3000))
     await sleep(1500)
     for (const task of firstStep(job)) t.is(startsOf(rig, task), 1, task)
     t.is(owner.status(job.id), undefined)
@@ -80,23 +80,23 @@
   it('is used once it can be read again', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     const before = corruptRow(rig, key)
-    await rig.own()
+    await rig.startOwner()
     await sleep(1200)
     rig.table.put(key, before)
-    t.true(await rig.settled([job], 14_000))
+    t.true(await rig.waitForOutcomes([job], 14_000))
     t.is(rig.outcomeOf(job), 'completed')
     for (const task of firstStep(job)) t.is(startsOf(rig, task), 1, task)
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
   it('lets its job start from the beginning when it is removed by hand', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
-    await rig.own()
+    await rig.startOwner()
     await sleep(1200)
     rig.table.remove(key)
-    t.true(await rig.settled([job], 14_000))
+    t.true(await rig.waitForOutcomes([job], 14_000))
     t.is(rig.outcomeOf(job), 'completed')
     await rig.stop()
   })
@@ -104,10 +104,10 @@
   it('does not prevent its job from being cancelled', async (t) => {
     const { rig, job, key } = await startWithHalfDoneJob()
     corruptRow(rig, key)
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     await sleep(300)
     t.true(owner.cancel(job.id))
-    t.true(await rig.settled([job], 3000))
+    t.true(await rig.waitForOutcomes([job], 3000))
     t.is(rig.outcomeOf(job), 'cancelled')
     await rig.stop()
   })
@@ -119,15 +119,15 @@
     const { rig, job, key } = await startWithHalfDoneJob()
     const intake = intakeKey(job.queue, job.id)
     corruptRow(rig, intake, '\uFFFD')
-    await rig.own()
+    await rig.startOwner()
     await sleep(7500)
     t.truthy(rig.table.get(key))
     t.true(hasEvent(rig, 'rowInvalid', job.id))
     rig.table.put(intake, encodeJob(job))
-    t.true(await rig.settled([job], 14_000))
+    t.true(await rig.waitForOutcomes([job], 14_000))
     t.is(rig.outcomeOf(job), 'completed')
     for (const task of firstStep(job)) t.is(startsOf(rig, task), 1, task)
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
@@ -137,10 +137,10 @@
     corruptRow(rig, intake, 'null')
     rig.table.put(cancelKey(job.queue, job.id), '{}')
     const startsBefore = startsOf(rig, `${job.id}.0.1.0`)
-    await rig.own()
+    await rig.startOwner()
     await sleep(1200)
     rig.table.put(intake, encodeJob(job))
-    t.true(await rig.settled([job], 5000))
+    t.true(await rig.waitForOutcomes([job], 5000))
     t.is(rig.outcomeOf(job), 'cancelled')
     t.is(startsOf(rig, `${job.id}.0.1.0`), startsBefore)
     await rig.stop()
@@ -150,7 +150,7 @@
   it('is restored by an owner that knows the job', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 3500, cpu: 400 })
     const key = intakeKey(job.queue, job.id)
     rig.submit(owner, job)
@@ -162,9 +162,9 @@
     }
     t.true(hasEvent(rig, 'rowInvalid', job.id))
     t.true(hasEvent(rig, 'rowRestored', job.id))
-    t.true(await rig.settled([job], 6000))
+    t.true(await rig.waitForOutcomes([job], 6000))
     t.is(rig.outcomeOf(job), 'completed')
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 
@@ -178,9 +178,9 @@
       rig.table.put({ ...key, key: `${job.id}x` }, '{"id":')
       rig.table.put({ ...key, key: `0${job.id}` }, encodeJob(job))
     }
-    await rig.own()
-    t.true(await rig.settled(jobs, 5000))
-    t.is(findBrokenPromise(rig.ledger), undefined)
+    await rig.startOwner()
+    t.true(await rig.waitForOutcomes(jobs, 5000))
+    t.is(findGuaranteeViolation(rig.ledger), undefined)
     await rig.stop()
   })
 })
@@ -190,14 +190,14 @@
   async function startWithUnreachableTarget(text: string, listed: boolean) {
     const rig = createJobRig()
     const cut = rig.addTarget('t1')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     cut.faults.hangs = true
     const job = makeJob({ ms: 50, cpu: 400 }, [{ count: 2 }])
     rig.submit(first, job)
     await sleep(200)
     cut.faults.silent = true
     first.live = false
-    if (!listed) rig.unlist('t1')
+    if (!listed) rig.removeListEntry('t1')
     rig.addTarget('t2')
     corruptRow(rig, { table: ROSTER_TABLE, part: SERVICE, key: 't1' }, text)
     return { rig, job }
@@ -209,14 +209,14 @@
       const where = listed ? 'that is listed' : 'that is not listed'
       it(`keeps inherited tasks of a target ${where} from starting early: ${text}`, async (t) => {
         const { rig, job } = await startWithUnreachableTarget(text, listed)
-        await rig.own()
+        await rig.startOwner()
         await sleep(2000)
         t.deepEqual(
           rig.ledger.entries.filter(({ target }) => target === 't2'),
           [],
         )
-        t.true(await rig.settled([job], 15_000))
-        t.is(findBrokenPromise(rig.ledger), undefined)
+        t.true(await rig.waitForOutcomes([job], 15_000))
+        t.is(findGuaranteeViolation(rig.ledger), undefined)
         await rig.stop()
       })
     }
@@ -224,8 +224,8 @@
 
   it('is removed once all runs on the target have ended', async (t) => {
     const { rig, job } = await startWithUnreachableTarget('{}', false)
-    await rig.own()
-    t.true(await rig.settled([job], 15_000))
+    await rig.startOwner()
+    t.true(await rig.waitForOutcomes([job], 15_000))
     await sleep(500)
     t.is(rig.table.get({ table: ROSTER_TABLE, part: SERVICE, key: 't1' }), undefined)
     await rig.stop()
--- a/src/scheduler/__tests__/waitWatch.spec.ts
+++ b/src/scheduler/__tests__/waitWatch.spec.ts
@@ -25,7 +25,7 @@
     const rig = createJobRig()
     rig.addTarget('t1')
     rig.addTarget('t2')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     const job = makeJob({ ms: 20, cpu: CAPACITY.cpu + 1 })
     rig.submit(owner, job)
     t.like(await firstEvent(rig, 'taskWaits'), {
@@ -44,7 +44,7 @@
   it('distinguishes a turn in a queue from a stall', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.submit(owner, makeJob({ ms: 12_000, cpu: 3000 }, [{ count: 1 }]))
     await sleep(100)
     const second = makeJob({ ms: 20, cpu: 3000 }, [{ count: 1 }])
@@ -57,7 +57,7 @@
   it('reports nothing for jobs with running tasks', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     rig.submit(owner, makeJob({ ms: 3000, cpu: 1500 }, [{ count: 4 }]))
     await sleep(REPORTED_WITHIN_MS)
     t.deepEqual(eventsOf(rig, 'taskWaits'), [])
@@ -67,7 +67,7 @@
   it('reports a stall if all targets are being evacuated', async (t) => {
     const rig = createJobRig()
     rig.addTarget('t1')
-    const owner = await rig.own()
+    const owner = await rig.startOwner()
     await sleep(200)
     owner.evacuate({ evacuate: ['t1'], hurry: [], ended: [] })
     const job = makeJob({ ms: 20, cpu: 100 })
@@ -81,13 +81,13 @@
     const rig = createJobRig()
     rig.addTarget('t1')
     const silent = rig.addTarget('t2')
-    const first = await rig.own()
+    const first = await rig.startOwner()
     await sleep(300)
     first.live = false
     silent.faults.silent = true
     const job = makeJob({ ms: 20, cpu: 100 })
     rig.submit(first, job)
-    await rig.own()
+    await rig.startOwner()
     const event = await firstEvent(rig, 'taskWaits')
     t.like(event, { job: job.id, hold: 'takeover', targets: '{"takeover":1}' })
     t.true(Number(event?.['endsInMs']) > 0)
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -18,7 +18,7 @@
 })
 
 /** An empty job book with both clocks fixed at 0 and callbacks that do nothing. */
-export const createStillBook = (): JobBook =>
+export const createFrozenJobBook = (): JobBook =>
   createJobBook({
     rulesOf: () => ({ maxAttempts: 1 }),
     now: () => 0,
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -72,7 +72,7 @@
   targets: Map<string, SimTarget>
   listed: Map<string, Target>
   /** Monotonic time since which owners have read the list of targets without a gap, in ms. */
-  listSteadySince: number
+  listGapFreeSince: number
   ledger: RunLedger
   log: ReturnType<typeof createMemoryLogger>
   /** How owners reach targets; by default through direct calls in the process. */
@@ -85,27 +85,27 @@
     simOptions?: Partial<Parameters<typeof createSimTarget>[0]>,
   ): SimTarget
   /** Changes the capacity in the list, but not that of the simulated target. */
-  resize(id: string, capacity: Resources): void
+  setListedCapacity(id: string, capacity: Resources): void
   /** Called when a target crashes. */
-  crashed: (id: string) => void
+  onCrash: (id: string) => void
   /** Replaces the entry of a target on the list and notifies the owners. */
-  relist(entry: Target): void
+  setListEntry(entry: Target): void
   /** Removes the entry of a target from the list and notifies the owners. */
-  unlist(id: string): void
+  removeListEntry(id: string): void
   /**
    * Starts an owner with the next term; the store refuses writes of earlier terms. Resolves once
    * the owner has read the jobs of the previous owner.
    */
-  own(predecessorMayLive?: boolean): Promise<RigOwner>
+  startOwner(predecessorMayLive?: boolean): Promise<RigOwner>
   /** The same, but resolves as soon as the owner runs. */
-  beginOwning(predecessorMayLive?: boolean): Promise<RigOwner>
+  startOwnerWithoutWaiting(predecessorMayLive?: boolean): Promise<RigOwner>
   /** Writes a job to the store and offers it to the owner. */
   submit(owner: ServiceOwner, job: JobSpec): void
   outcomeOf(job: JobSpec): string | undefined
   /** Targets that are suspect according to the log, sorted by id. */
   suspects(): string[]
   /** Waits until all jobs have an outcome in the store; false if not within `ms`. */
-  settled(jobs: JobSpec[], ms: number): Promise<boolean>
+  waitForOutcomes(jobs: JobSpec[], ms: number): Promise<boolean>
   stop(): Promise<void>
 }
 
@@ -146,7 +146,7 @@
     ready: Promise.resolve(),
     byId: () => listed,
     freshAt: () => performance.now(),
-    gapFreeSince: () => rig.listSteadySince,
+    gapFreeSince: () => rig.listGapFreeSince,
     unreadableSince: () => undefined,
     subscribe(listener) {
       listeners.add(listener)
@@ -162,19 +162,19 @@
     table,
     targets,
     listed,
-    listSteadySince: -Infinity,
+    listGapFreeSince: -Infinity,
     ledger,
     log,
     orders: createSimOrders(targets),
     cloud: undefined,
-    crashed: () => undefined,
+    onCrash: () => undefined,
     addTarget(id, more = {}, simOptions = {}) {
       const target = createSimTarget({
         id,
         capacity: more.capacity ?? CAPACITY,
         ledger,
         ...simOptions,
-        crashed: () => rig.crashed(id),
+        onCrash: () => rig.onCrash(id),
       })
       targets.set(id, target)
       listed.set(id, {
@@ -191,21 +191,22 @@
       notifyListeners()
       return target
     },
-    resize: (id, capacity) => rig.relist({ ...listed.get(id)!, capacity }),
-    relist(entry) {
+    setListedCapacity: (id, capacity) =>
+      rig.setListEntry({ ...listed.get(id)!, capacity }),
+    setListEntry(entry) {
       listed.set(entry.id, entry)
       notifyListeners()
     },
-    unlist(id) {
+    removeListEntry(id) {
       listed.delete(id)
       notifyListeners()
     },
-    async own(predecessorMayLive) {
-      const owner = await rig.beginOwning(predecessorMayLive)
+    async startOwner(predecessorMayLive) {
+      const owner = await rig.startOwnerWithoutWaiting(predecessorMayLive)
       await owner.inheritedRead
       return owner
     },
-    async beginOwning(predecessorMayLive = false) {
+    async startOwnerWithoutWaiting(predecessorMayLive = false) {
       term++
       const version = table.put(EPOCH, String(term))
       const state = {
@@ -262,7 +263,7 @@
       }
       return [...found].sort()
     },
-    async settled(jobs, ms) {
+    async waitForOutcomes(jobs, ms) {
       const endsAt = performance.now() + ms
       while (performance.now() < endsAt) {
         if (jobs.every((job) => rig.outcomeOf(job) !== undefined)) return true
@@ -285,7 +286,7 @@
  * @param unreachable targets that were unreachable for longer than a lease; the owner may not know
  *   that a task was done there and may run it again
  */
-export function findBrokenPromise(
+export function findGuaranteeViolation(
   ledger: RunLedger,
   crashed: ReadonlySet<string> = new Set(),
   unreachable: ReadonlySet<string> = new Set(),
--- a/test/rig.ts
+++ b/test/rig.ts
@@ -49,7 +49,7 @@
   /** Changes fields of a VM's row and creates the row if it is absent. */
   setVm(id: string, change: Partial<VmRow>): Promise<void>
   /** Polls the check every 10 ms until it holds; never times out. */
-  until(check: () => boolean | Promise<boolean>): Promise<void>
+  waitUntil(check: () => boolean | Promise<boolean>): Promise<void>
   stop(): Promise<void>
 }
 
@@ -119,7 +119,7 @@
       const row: JobRow = { ...base, state: 'running' }
       await rig.setVm(vm, { incarnation })
       await put(jobKey(HALL, id), row)
-      await rig.until(() =>
+      await rig.waitUntil(() =>
         kernel
           .get('view')
           .targets('s')
@@ -142,7 +142,7 @@
       const before = (standIn.row(key) as VmRow | undefined) ?? fresh
       await put(key, { ...before, ...change })
     },
-    async until(check) {
+    async waitUntil(check) {
       while (!(await check())) await new Promise((resolve) => setTimeout(resolve, 10))
     },
     async stop() {
@@ -153,6 +153,6 @@
       await fleet.stop()
     },
   }
-  await rig.until(() => kernel.get('table').current() !== undefined)
+  await rig.waitUntil(() => kernel.get('table').current() !== undefined)
   return rig
 }
