--- a/src/front/__tests__/jobService.spec.ts
+++ b/src/front/__tests__/jobService.spec.ts
@@ -28,7 +28,7 @@
 }
 
 function startService(unread: string[] = []) {
-  const current = () => ({ unread }) as unknown as Configuration
+  const current = () => ({ invalidParts: unread }) as unknown as Configuration
   const configuration = { current, match: () => undefined, freshAt: () => Infinity }
   const table = createRowTable()
   const offered: string[] = []
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -263,7 +263,7 @@
       if (row.value) membership.applyRow(row.value)
       return true
     },
-    refreshIfStale: refreshIfStale,
+    refreshIfStale,
     msSinceFirstRead: () => (firstReadAt === undefined ? 0 : now() - firstReadAt),
     async stop() {
       stopping.abort()
