--- a/src/scheduler/__tests__/lateOwner.spec.ts
+++ b/src/scheduler/__tests__/lateOwner.spec.ts
@@ -5,7 +5,8 @@
  * 0.4 s, so only the changes in the store remain. While these waited for the full read, the
  * owner learned of the median cancel after 9.7 s and admitted 2 jobs in a second in which 45
  * were accepted: tasks started 5 s after their job's cancel had been acknowledged, and new jobs
- * waited for 5 s and more although targets had room.
+ * waited for 5 s and more although targets had room. The log then shows `mirrorStale` (RS-8041)
+ * for the intake, and later many `jobTaken` in one moment: 24, 4.7 s after it.
  */
 import { describe, it } from '../../../test/describe.js'
 import { createJobRig, makeJob } from '../../../test/jobRig.js'
--- a/src/scheduler/__tests__/stalledJobs.spec.ts
+++ b/src/scheduler/__tests__/stalledJobs.spec.ts
@@ -238,6 +238,7 @@
     for (const job of sound) t.is(rig.outcomeOf(job), 'completed')
   })
 
+  // The owner of the fleet does not count the VM of a suspect target and so adds another one.
   it('cause a target that fails every run to be reported as suspect', async (t) => {
     const rig = startRig(t)
     const bad = rig.addTarget('t1')
--- a/src/scheduler/__tests__/takeoverReading.spec.ts
+++ b/src/scheduler/__tests__/takeoverReading.spec.ts
@@ -4,7 +4,8 @@
  * core and 1.4 Mbit/s, and each reads the intake of all services: 64 parts, four at a time. If
  * it calls no target and starts nothing until the last part is read, it needs 6.4 to 11 s,
  * against a lease of 1.2 s, and when it loses the lease the next owner begins again. Accepted
- * jobs then do not run although targets have room.
+ * jobs then do not run although targets have room. The log shows `ownerStarted` that long after
+ * `ownershipTaken`, and the first `targetHeard` only after it.
  */
 import { describe, it } from '../../../test/describe.js'
 import { SERVICE, createJobRig, makeJob } from '../../../test/jobRig.js'
--- a/src/scheduler/constants.ts
+++ b/src/scheduler/constants.ts
@@ -1,4 +1,4 @@
-/** Time-outs, intervals and limits of the scheduler. Times are in ms of the steady clock. */
+/** Time-outs, intervals and limits of the scheduler. Times are in ms of the monotonic clock. */
 
 /**
  * Lease of everything that runs on a target. It exceeds the time to detect a dead owner and take
@@ -117,7 +117,7 @@
 /**
  * Shortest interval between two plans. Each new job and each ended run requests a plan, some
  * hundreds per second at a peak, and a plan examines all waiting tasks: 0.8 ms on average for 300
- * jobs of 8 tasks and 100 full targets. The interval delays a task by at most its own length, of
- * the 0.6 s that a job may lose.
+ * jobs of 8 tasks and 100 full targets. A start is delayed by at most this interval, which is small
+ * compared with the 0.6 s of delay that callers allow a job.
  */
 export const MIN_PLAN_INTERVAL_MS = 5
--- a/src/scheduler/evacuation.ts
+++ b/src/scheduler/evacuation.ts
@@ -48,7 +48,7 @@
 ): void {
   for (const agent of agents()) {
     const { id } = agent.target
-    // An answering target may be a new instance with the same id, whose runs must be kept.
+    // An answering target may be a later incarnation of the id, whose runs must be kept.
     if (ended.includes(id) && agent.isSilent()) {
       agent.markGone('its VM was moved or maintained')
       continue
@@ -78,7 +78,7 @@
   return maxPerTarget === 0 || agent.room.countOf(step) < maxPerTarget
 }
 
-/** Whether the step may miss this task as well as those that are not running already. */
+/** Whether the step may miss this task in addition to those that are not running now. */
 function canInterrupt(task: Task, agents: TargetAgent[]): boolean {
   const { step } = task
   const allowed = step.spec.mayMiss ?? step.tasks.length
--- a/src/scheduler/health.ts
+++ b/src/scheduler/health.ts
@@ -16,7 +16,7 @@
   /** Records the end of a run; kinds other than `done` and `failed` are ignored. */
   noteEnd(agent: TargetAgent, task: Task, kind: string): void
   standingOf(agent: TargetAgent): TargetStanding
-  /** Steady time until which the target is excluded, in ms; in the past if it is not. */
+  /** Monotonic time until which the target is excluded, in ms; in the past if it is not. */
   excludedUntil(agent: TargetAgent): number
   /** Whether the step itself is the cause of its failures, and not a target. */
   isFaulty(step: Step): boolean
--- a/src/scheduler/livenessCheck.ts
+++ b/src/scheduler/livenessCheck.ts
@@ -30,7 +30,6 @@
 }
 
 /** Creates the check; without a cloud it does nothing. */
-
 export function createLivenessCheck(
   cloud: VmCloud | undefined,
   log: Logger,
--- a/src/scheduler/newJobs.ts
+++ b/src/scheduler/newJobs.ts
@@ -207,8 +207,8 @@
 
   /**
    * Waits for a recent lease renewal, so that reading does not delay the next one by taking up
-   * the process and its link. Stops waiting after `READ_PATIENCE_MS`, because the store may
-   * refuse writes of the lease row only.
+   * the process and its link. Stops waiting after {@link MAX_LEASE_WAIT_MS}, because the store
+   * may refuse writes of the lease row only.
    */
   async function waitForLease(signal: AbortSignal): Promise<void> {
     const endsAt = monotonicMs() + MAX_LEASE_WAIT_MS
--- a/src/scheduler/runMonitor.ts
+++ b/src/scheduler/runMonitor.ts
@@ -71,7 +71,7 @@
   agent: TargetAgent
   /** Progress per time as a multiple of the usual value for the queue. */
   pace: number
-  /** Steady times of the start of the run and of its last report or end, in ms. */
+  /** Monotonic times of the start of the run and of its last report or end, in ms. */
   startedAt: number
   at: number
 }
--- a/src/scheduler/runTimes.ts
+++ b/src/scheduler/runTimes.ts
@@ -28,7 +28,6 @@
 }
 
 /** Creates estimates without any runs. */
-
 export function createRunTimes(): RunTimes {
   /** Average run time by queue, in ms. */
   const meanByQueue = new Map<string, number>()
--- a/src/scheduler/serviceOwner.ts
+++ b/src/scheduler/serviceOwner.ts
@@ -104,6 +104,7 @@
   const stopping = createStopController()
   const agents = new Map<string, TargetAgent>()
   const allAgents = (): TargetAgent[] => [...agents.values()]
+  /** Whether inherited tasks may start; set once the runs on all targets are known. */
   let gateOpen = false
   let fleetAnswered = false
   let resolveInheritedRead: () => void = () => undefined
@@ -162,7 +163,7 @@
     },
   })
   const tickets = createTickets({ advice: opts.advice, log, changed: wake })
-  const lifeCheck = createLivenessCheck(opts.cloud, log)
+  const livenessCheck = createLivenessCheck(opts.cloud, log)
   const unreadableRows = createInvalidRows(log, INTAKE_TABLE)
   const isGateOpen = (): boolean => gateOpen
   const held = createHeldJobs({ store, service, authority, book, log, isGateOpen })
@@ -283,7 +284,7 @@
     return monotonicMs() - startedAt < MAX_FIRST_READ_WAIT_MS
   }
 
-  /** Allows inherited tasks to start once the runs on all targets are settled. */
+  /** Allows inherited tasks to start once the runs on all targets are known. */
   function openGateOnceSettled(): void {
     if (gateOpen || !allAgents().every((agent) => agent.isStateKnown())) return
     gateOpen = true
@@ -307,7 +308,7 @@
       evacuateLeaving({ targets, agents: allAgents(), log })
       moveUnhealthyRuns({ agents: allAgents(), health, starter, log })
       waitWatch.check(allAgents())
-      await lifeCheck.run(allAgents())
+      await livenessCheck.run(allAgents())
       wake()
       await sleep(HOUSEKEEPING_INTERVAL_MS, stopping.signal)
     }
--- a/src/scheduler/startWindow.ts
+++ b/src/scheduler/startWindow.ts
@@ -57,7 +57,7 @@
   /** Called when a full window has space again. */
   freed(): void
   log: Logger
-  /** Steady clock, in ms. */
+  /** Returns the time of a monotonic clock, in ms. */
   now?(): number
 }
 
@@ -72,7 +72,7 @@
   let wasFull = false
   let answerTimes: number[] = []
   let periodStart = now()
-  /** Rates of recent periods, in starts per second, with their steady times in ms. */
+  /** Rates of recent periods, in starts per second, with their monotonic times in ms. */
   let rates: { at: number; perSecond: number }[] = []
   let behindUntil = -Infinity
 
--- a/src/scheduler/suspectPolicy.ts
+++ b/src/scheduler/suspectPolicy.ts
@@ -122,7 +122,7 @@
   countOf: () => 0,
 })
 
-/** Steady time since which the step is ready and its job runs nothing, in ms. */
+/** Monotonic time since which the step is ready and its job runs nothing, in ms. */
 const idleSinceOf = ({ job, tasks }: Step): number => {
   const firstReady = tasks.find(({ phase }) => phase === 'ready')
   return Math.max(job.idleSince, firstReady?.readySince ?? 0)
--- a/src/scheduler/suspicion.ts
+++ b/src/scheduler/suspicion.ts
@@ -51,7 +51,7 @@
    */
   retractEvidence(isCause: (step: Step) => boolean): void
   standingOf(agent: TargetAgent): TargetStanding
-  /** Steady time until which the target is excluded, in ms; in the past if it is not. */
+  /** Monotonic time until which the target is excluded, in ms; in the past if it is not. */
   excludedUntil(agent: TargetAgent): number
   /** Whether the step itself is the cause of its failures, and not a target. */
   isFaulty(step: Step): boolean
--- a/src/scheduler/tickets.ts
+++ b/src/scheduler/tickets.ts
@@ -36,7 +36,6 @@
 }
 
 /** Creates an empty cache. */
-
 export function createTickets(opts: {
   advice: Advice | undefined
   log: Logger
--- a/src/scheduler/types.ts
+++ b/src/scheduler/types.ts
@@ -28,8 +28,8 @@
   /** Whether the target takes new tasks now. */
   isUsable(): boolean
   /**
-   * Number of times that the fencing token was raised within this term, for earlier incarnations
-   * of the id too.
+   * Number of times that the fencing token was raised within this term, including those for
+   * earlier incarnations under the same id.
    */
   tokenOffset(): number
   /** Monotonic time until which the target gets no new tasks after a refusal, in ms. */
@@ -45,7 +45,7 @@
   leaseExpiresAt(): number
   /** Whether the target has reported and is neither silent nor gone. */
   isAnswering(): boolean
-  /** Whether a call has failed since the last answer, or since the first call without any. */
+  /** Whether a call has failed since the last answer, or at all if none has been answered. */
   isSilent(): boolean
   /** Whether the target is being evacuated and gets no new tasks. */
   evacuating: boolean
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/urgency.ts
@@ -24,8 +24,8 @@
   priority: number
   standing: Timeliness
   /**
-   * Steady time by which the job should be done, in ms. For useless jobs it only determines their
-   * order.
+   * Monotonic time by which the job should be done, in ms. For useless jobs it only determines
+   * their order.
    */
   deadline: number
   /** Maximum number of starts in one round; unlimited by default. */
--- a/src/scheduler/waitWatch.ts
+++ b/src/scheduler/waitWatch.ts
@@ -64,7 +64,7 @@
   policyNow(agents: readonly TargetAgent[]): PlacementPolicy
   /** Whether the owner cannot order starts as fast as they become due. */
   isBehind(): boolean
-  /** Steady time until which evidence against a target keeps tasks off it, in ms. */
+  /** Monotonic time until which evidence against a target keeps tasks off it, in ms. */
   suspectUntil(agent: TargetAgent): number
   log: Logger
 }
@@ -154,15 +154,15 @@
   }
 }
 
-/** Number of targets by rule, and the steady time at which the wait may end, in ms. */
+/** Number of targets by rule, and the monotonic time at which the wait may end, in ms. */
 interface HoldSummary {
   holds: HoldCounts
   endsAt: number
 }
 
 /**
- * Returns the holds of an inherited job, which waits until all targets that may still run its tasks
- * are settled.
+ * Returns the holds of an inherited job, which waits until the runs on all targets that may still
+ * run its tasks are known.
  */
 function takeoverHolds(agents: TargetAgent[]): HoldSummary {
   const unsettled = agents.filter((agent) => !agent.isStateKnown())
@@ -188,7 +188,7 @@
   return first?.[0] ?? 'noTarget'
 }
 
-/** Steady time since which a task is ready and, unless lasting, its job runs nothing, in ms. */
+/** Monotonic time since which a task is ready and, unless lasting, its job runs nothing, in ms. */
 const waitingSince = ({ readySince, step }: Task): number =>
   step.spec.lasting ? readySince : Math.max(readySince, step.job.idleSince)
 
