--- a/src/front/storedJobs.ts
+++ b/src/front/storedJobs.ts
@@ -76,7 +76,7 @@
   if (!row) return findEndedJob(store, queue, id)
   const entry = decodeIntake(row, row.value)
   if (entry.kind !== 'job') {
-    // Another writer may have put the unreadable row while the job was already in the ended table.
+    // Another writer may have added the unreadable row after the job had moved to the ended table.
     const ended = await findEndedJob(store, queue, id)
     return ended.kind === 'unknownJob' ? unavailable(UNREADABLE) : ended
   }
--- a/src/jobs/__tests__/rows.spec.ts
+++ b/src/jobs/__tests__/rows.spec.ts
@@ -77,7 +77,7 @@
     t.pass()
   })
 
-  // 200 000 numbers, spread into the arguments of one call, exceed the stack and abort a takeover.
+  // Passed as the arguments of one call, 200 000 numbers exceed the stack, which aborts a takeover.
   it('are rejected with more failed runs than there can be', (t) => {
     const runs = Array.from({ length: 200_000 }, (_, run) => run)
     const value = { done: {}, failedRuns: { '0.0.0': runs }, checkpoints: {} }
--- a/src/jobs/jobBook.ts
+++ b/src/jobs/jobBook.ts
@@ -82,7 +82,7 @@
   noteCrash(task: Task, run: number, role: CrashRole): void
   /** Records the confirmed uptime of a run of the task, in ms. */
   noteUptime(task: Task, ms: number): void
-  /** Number of open jobs of a queue, without repetitions, none of whose tasks has begun. */
+  /** Number of open jobs of a queue that have not begun; repeating jobs are not counted. */
   waiting(queue: string): number
   remove(id: string): void
   task(name: string): Task | undefined
--- a/src/ownership/nodeRegistry.ts
+++ b/src/ownership/nodeRegistry.ts
@@ -211,7 +211,7 @@
 
   function renewalDelayMs(done: boolean): number {
     if (isOwner()) return done ? RENEW_MS : STORE_RETRY_MS
-    // Based on the written lease: the other nodes treat this node as dead after that one.
+    // Derived from the lease in the stored row: after that lease this node counts as dead.
     return done ? leaseMs / IDLE_LEASE_INTERVALS : IDLE_RETRY_MS
   }
 
--- a/src/ownership/ownership.ts
+++ b/src/ownership/ownership.ts
@@ -177,7 +177,7 @@
     else owned.owner = owner
   }
 
-  /** Checks that no other node took over a service after the lease of this node had expired. */
+  /** After the lease of this node has expired, checks that no other node took over the service. */
   async function confirm(service: string, owned: OwnedService): Promise<void> {
     if (owned.confirming) return
     owned.confirming = true
--- a/src/vms/constants.ts
+++ b/src/vms/constants.ts
@@ -9,7 +9,7 @@
 export const MIN_ROUND_INTERVAL_MS = 25
 /** Interval between two reports of a service's owner. */
 export const REPORT_INTERVAL_MS = 150
-/** Reports older than this are ignored: at least four later ones were lost. */
+/** Reports older than ten report intervals are ignored: several later ones were lost by then. */
 export const REPORT_STALE_MS = 1500
 /** Interval between two reads of the list of VMs while nothing changes. */
 export const LIST_INTERVAL_MS = 1000
--- a/src/vms/fleetOwner.ts
+++ b/src/vms/fleetOwner.ts
@@ -152,7 +152,8 @@
   /** VMs that a service keeps: as many as at its last peak, or all until peaks are known. */
   function vmsToKeep(service: string, needed: number): number {
     const peak = peaks.note(service, needed, monotonicMs())
-    // Parked at once by a new owner, nine VMs that the next queue needs are away for 3 s.
+    // A new owner that parked surplus VMs at once would also park VMs that the next queue needs: in
+    // one case nine VMs were away for 3 s.
     return monotonicMs() - firstDecisionAt < PEAK_HOLD_MS ? Infinity : peak
   }
 
