--- a/src/config/nodeConfig.ts
+++ b/src/config/nodeConfig.ts
@@ -1,7 +1,8 @@
 /**
  * Settings of `rillshunt-node`. The platform writes the file and may use sections, keys
- * or values that this version does not support. Those are ignored and reported: a node
- * that refused to start because of them would fail on every VM at once.
+ * or values that this version does not support. Unknown sections and keys, and invalid
+ * values of the keys in {@link KEYS_WITH_FALLBACK}, are ignored and reported: a node that
+ * refused to start because of them would fail on every VM at once.
  */
 import { parse } from 'ini'
 import type { Result } from 'neverthrow'
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -9,7 +9,7 @@
 /** One row of the transactional table. */
 export const rowSchema = z.object({
   key: z.string(),
-  /** Number of changes of this row so far. Version 0 stands for an absent row. */
+  /** Number of changes so far, 1 after the first; version 0 stands for an absent row. */
   version: z.number().int().min(1),
   /** Platform revision of the last change. */
   revision: z.number().int().min(0),
--- a/src/ports/targetOrders.ts
+++ b/src/ports/targetOrders.ts
@@ -30,7 +30,10 @@
   run: number
   /** Checkpoint to resume from; empty when there is none. */
   checkpoint: string
-  /** 100 when the task is fully at work. */
+  /**
+   * Progress of the run, in percent. For a task that runs until it is stopped, 100 means that it
+   * is fully operational.
+   */
   percent: number
   /** Tail latency in ms of a task that serves users, else its processor use in thousandths. */
   load: number
--- a/src/programs/entryServices.ts
+++ b/src/programs/entryServices.ts
@@ -116,7 +116,8 @@
         wallSeconds: () => Date.now() / 1000,
         log,
       })
-      // Claims that were handed over at the last stop are taken back before any are added.
+      // Peers are asked for claims handed over at the last stop before this entry grants any.
+      // Those that do not answer are asked again in the background.
       const stopping = createStopController()
       let isRecovered = await once.recover()
       const recovery = (async () => {
--- a/src/shared/lateness.ts
+++ b/src/shared/lateness.ts
@@ -7,7 +7,7 @@
 
 /** Time between two checks, in ms; four wake-ups a second have no measurable cost. */
 const CHECK_INTERVAL_MS = 250
-/** Shortest delay that is logged, in ms; others abandon a call after 400 ms, twice as long. */
+/** Shortest delay that is logged, in ms: half of the 400 ms after which others abandon a call. */
 const REPORT_THRESHOLD_MS = 200
 /** Shortest time between two log lines about delays, in ms. */
 const MIN_REPORT_INTERVAL_MS = 1000
--- a/src/shared/logger.ts
+++ b/src/shared/logger.ts
@@ -26,7 +26,7 @@
 /** Options of {@link createLogger}. */
 export interface LoggerOptions {
   /**
-   * Lowest level that is written.
+   * Least severe level that is written.
    * @default 'info'
    */
   level?: EventLevel
--- a/src/shared/roundTrip.ts
+++ b/src/shared/roundTrip.ts
@@ -22,7 +22,7 @@
   timeoutMs(): number
 }
 
-/** Creates the estimate, which is `mostMs` before the first answer. Bounds are in ms. */
+/** Creates the estimate, which is `maxMs` before the first answer. Bounds are in ms. */
 export function createAdaptiveTimeout(opts: {
   minMs: number
   maxMs: number
