--- a/bench/account/buildAccount.ts
+++ b/bench/account/buildAccount.ts
@@ -1,9 +1,9 @@
 /** Sums up the waits of tasks in a run, by second and by cause. Pure. */
 import type { LogEvent } from './readLog.js'
 
-/** Longest wait that is put down to no cause: two check intervals of an owner. */
+/** Waits up to two check intervals of an owner are normal and not attributed to a cause. */
 const MAX_UNEXPLAINED_WAIT_MS = 200
-/** Time that the move of a VM takes; a wait in its new pool meanwhile is due to it. */
+/** Duration of the move of a VM. Waits in its new pool during this time are due to the move. */
 const MOVE_MS = 1700
 
 /** Cause of a wait. */
--- a/bench/loadGenerator.ts
+++ b/bench/loadGenerator.ts
@@ -25,7 +25,10 @@
   if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`)
 }
 
-/** Sends on each connection when the reply has come; returns the requests per second. */
+/**
+ * Sends the next request on a connection once the reply to the previous one has arrived.
+ * Returns the completed requests per second.
+ */
 export async function closedLoop(
   spec: RequestSpec,
   connections: number,
--- a/bench/requests.ts
+++ b/bench/requests.ts
@@ -51,7 +51,7 @@
   }
 }
 
-/** Largest number of runs on a target over the mean. */
+/** Ratio of the largest number of runs on a target to the mean of all targets. */
 function imbalance(runs: number[]): number {
   const mean = runs.reduce((a, b) => a + b, 0) / runs.length
   return round(Math.max(...runs) / mean)
--- a/playground/__tests__/processLife.spec.ts
+++ b/playground/__tests__/processLife.spec.ts
@@ -1,9 +1,10 @@
 /**
- * Guards against nodes that exit or serve nothing because of input that they do not expect: a
- * SIGHUP or SIGTERM before the code is loaded (0.3 s, more on a weak VM; a SIGHUP 5 to 300 ms
- * after the start ended a node, one after 500 ms did not), a second SIGTERM within 20 ms, in the
- * middle of a graceful stop, an unknown section in the settings (503 to everything), a port in
- * use at the start, or a missing settings file.
+ * Guards against nodes that exit or serve nothing because of input that they do not expect.
+ * - A SIGHUP or SIGTERM that arrives before the code is loaded, which takes 0.3 s, and more on a
+ *   weak VM. A SIGHUP 5 to 300 ms after the start ended a node, one after 500 ms did not.
+ * - A second SIGTERM within 20 ms of the first one, which ended the graceful stop early.
+ * - An unknown section in the settings, after which a node answered 503 to every request.
+ * - A port in use at the start, which ended a node, or a settings file that does not exist yet.
  */
 import { spawnSync } from 'node:child_process'
 import { mkdtempSync, readFileSync, renameSync, writeFileSync } from 'node:fs'
--- a/playground/__tests__/thinLink.spec.ts
+++ b/playground/__tests__/thinLink.spec.ts
@@ -1,10 +1,11 @@
 /**
- * Guards against takeovers that never complete behind slow links: after a loss of power of one
- * second, a site ran no job any more, and 635 accepted jobs were lost. The new owners read all
- * jobs of the last minutes. A page took longer than the fixed time-out of a call and was
- * discarded and requested again; the store, which answered in 4 ms, counted as silent; the lease
- * expired, and the next owner started again. 'takeoverWaits' was repeated for 20 s. With links
- * of 200 instead of 2 Mbit/s nothing was lost.
+ * Guards against takeovers that never complete behind slow links. After all nodes of a site with
+ * links of 2 Mbit/s had lost power for one second, no job ran any more, and 635 accepted jobs
+ * counted as lost. The new owners read all jobs of the last minutes, and a page took longer than
+ * the fixed time-out of a call, so it was discarded and requested again. The node attributed its
+ * own slow link to the store, which answered in 4 ms, and considered the store silent. Its lease
+ * expired, and the next owner began to read from the start: 'takeoverWaits' was logged again and
+ * again for 20 s. With links of 200 Mbit/s, no guarantee was violated.
  */
 import { describe, it } from '../../test/describe.js'
 import { isReady, waitUntil } from '../../test/nodeProbe.js'
--- a/playground/__tests__/weakOwner.spec.ts
+++ b/playground/__tests__/weakOwner.spec.ts
@@ -1,9 +1,10 @@
 /**
  * Guards against owners that start no task before they have read the intake of all queues. After
  * a loss of power, two nodes with 0.12 of a core and links of 1.4 Mbit/s own all services, and
- * hundreds of jobs of eight queues are open. When a node read all queues, mostly with jobs of
- * other services, once for each service that it owned, `ownerStarted` came 6.4 to 11 s after
- * `ownershipTaken`, and accepted jobs waited although targets had room, some of them for good.
+ * hundreds of jobs of eight queues are open. Each node read the intake of all queues once for
+ * each service that it owned, and most of these jobs belonged to other services. Therefore
+ * `ownerStarted` came 6.4 to 11 s after `ownershipTaken`, and accepted jobs waited although
+ * targets had room, some of them until the end of the run.
  */
 import { describe, it } from '../../test/describe.js'
 import { waitUntil } from '../../test/nodeProbe.js'
--- a/playground/soak/runChecks.ts
+++ b/playground/soak/runChecks.ts
@@ -4,7 +4,10 @@
 import { countEnds, areDependenciesDone, recordEntry } from './jobView.js'
 import type { JobView, TaskView } from './jobView.js'
 
-/** Longest time from the answer to a cancel to a start, in ms; the second holds at any time. */
+/**
+ * Longest time after the answer to a cancel until which a task may still start, in ms: in
+ * undisturbed time and on reachable targets, and in any case.
+ */
 const MAX_START_AFTER_CANCEL_MS = 3000
 const MAX_START_AFTER_CANCEL_DISTURBED_MS = 10_000
 /** Longest time from the `draining` entry of a target to a start on it, in ms. */
--- a/playground/soak/stallDetector.ts
+++ b/playground/soak/stallDetector.ts
@@ -10,7 +10,10 @@
 import type { JobView, TaskView } from './jobView.js'
 import type { Report, RunChecks } from './runChecks.js'
 
-/** Longest time without a run of a job, in ms; tasks that run until stopped have more. */
+/**
+ * Longest time for which a job may have no run although one of its tasks could start, in ms. The
+ * second limit applies to tasks that run until stopped.
+ */
 const MAX_STALL_MS = 3000
 const MAX_LASTING_TASK_STALL_MS = 6000
 /** Time after which nodes must know that a target is usable, in ms. */
