--- a/bench/account/plotAccount.ts
+++ b/bench/account/plotAccount.ts
@@ -6,7 +6,7 @@
 const WIDTH = 960
 const PANEL_HEIGHT = 200
 const MARGIN = { left: 50, right: 130, top: 24, bottom: 20 }
-/** Colours that are told apart in print too. */
+/** Colours that can also be distinguished in print. */
 const COLOURS = [
   '#1b6ca8',
   '#c8553d',
--- a/bench/account/readLog.ts
+++ b/bench/account/readLog.ts
@@ -1,7 +1,7 @@
 /** Reads the structured logs of all nodes of a run, in any order. */
 import { z } from 'zod'
 
-/** Fields in use of a log line. Which of the optional ones exist depends on the event. */
+/** Fields of a log line that the tools read. The event determines which optional ones exist. */
 const lineSchema = z.object({
   timestamp: z.iso.datetime(),
   name: z.string(),
--- a/bench/entryCluster.ts
+++ b/bench/entryCluster.ts
@@ -184,7 +184,7 @@
   notRun: number
   unknown: number
   latency: Histogram
-  /** By half second of arrival; `refused` counts what is not in `answered`. */
+  /** By half second of arrival. `refused` counts all other requests, failed ones too. */
   halfSeconds: { answered: number; refused: number; latency: Histogram }[]
 }
 
--- a/test/jobRig.ts
+++ b/test/jobRig.ts
@@ -282,7 +282,8 @@
 /**
  * Checks what the targets did against the guarantees: no task has two runs at once, and none
  * starts again after it was done. Returns a description of the first violation.
- * @param crashed targets that crashed; runs on them count as ended
+ * @param crashed targets that crashed; runs on them count as ended, and a task that was done there
+ *   may run again
  * @param unreachable targets that were unreachable for longer than a lease; the owner may not know
  *   that a task was done there and may run it again
  */
