--- a/src/cli/waitReason.ts
+++ b/src/cli/waitReason.ts
@@ -41,7 +41,7 @@
     const { answers } = await clients.at(address).ask({ questions }, { timeoutMs })
     const [answer] = answers
     if (!answer?.owns)
-      return { node, failure: 'it no longer owns the service', wait: undefined }
+      return { node, failure: 'it owns it no more', wait: undefined }
     const wait = waitReportSchema.safeParse(parseJson(answer.wait)).data
     return { node, failure: undefined, wait }
   } catch (cause) {
