--- a/src/cli/waitReason.ts
+++ b/src/cli/waitReason.ts
@@ -40,8 +40,7 @@
     const timeoutMs = ASK_TIMEOUT_MS
     const { answers } = await clients.at(address).ask({ questions }, { timeoutMs })
     const [answer] = answers
-    if (!answer?.owns)
-      return { node, failure: 'it owns it no more', wait: undefined }
+    if (!answer?.owns) return { node, failure: 'it owns it no more', wait: undefined }
     const wait = waitReportSchema.safeParse(parseJson(answer.wait)).data
     return { node, failure: undefined, wait }
   } catch (cause) {
