--- a/src/directory/rowMirror.ts
+++ b/src/directory/rowMirror.ts
@@ -15,7 +15,10 @@
 /** Pause after a failed read, in ms; jittered. */
 const RETRY_MS = 200
 
-/** Longest time between two successful reads without a gap, in ms; more means failed reads. */
+/**
+ * Two successful reads further apart than this have a gap between them, in ms: some reads at the
+ * usual interval have failed.
+ */
 const MAX_READ_GAP_MS = 1500
 
 /** A copy that follows its table until it is stopped. */
@@ -60,7 +63,7 @@
   const knownKeys = new Set<string>()
   let version = opts.after
   let freshAt = -Infinity
-  let steadySince = Infinity
+  let gapFreeSince = Infinity
   let isFailing = false
   /** Whether the next read follows at once, as this one only found the version to continue from. */
   let skipPause = false
@@ -122,7 +125,7 @@
       skipPause = false
       const done = version === undefined ? await readAll() : await readChanges(version)
       if (done) {
-        if (sentAt - freshAt > MAX_READ_GAP_MS) steadySince = sentAt
+        if (sentAt - freshAt > MAX_READ_GAP_MS) gapFreeSince = sentAt
         freshAt = sentAt
         if (isFailing && version !== undefined) log.event('mirrorFresh', { table })
         isFailing = false
@@ -136,7 +139,7 @@
   return {
     ready,
     freshAt: () => freshAt,
-    gapFreeSince: () => steadySince,
+    gapFreeSince: () => gapFreeSince,
     async stop() {
       stopping.abort()
       await task
--- a/src/directory/targetList.ts
+++ b/src/directory/targetList.ts
@@ -71,7 +71,7 @@
     unreadRows.clear(id)
   }
 
-  /** Removes the target of an unreadable entry; what the entry said before is no longer used. */
+  /** Removes the target of an unreadable or rejected entry; its earlier entry is not used either. */
   function excludeTarget(id: string, reason: string): void {
     targets.delete(id)
     if (!unreadable.has(id)) unreadable.set(id, monotonicMs())
--- a/src/entry/__tests__/entry.spec.ts
+++ b/src/entry/__tests__/entry.spec.ts
@@ -265,7 +265,7 @@
   })
 
   describe('malformed input', () => {
-    it('is answered or closes the connection, and the entry keeps serving', async (t) => {
+    it('is answered or its connection is closed, and the entry keeps serving', async (t) => {
       const rig = await setUp(t)
       await rig.addTarget('v1')
       const { port } = rig.kernel.get('front').address
--- a/src/entry/__tests__/policy.spec.ts
+++ b/src/entry/__tests__/policy.spec.ts
@@ -40,7 +40,7 @@
     )
   })
 
-  it('never pick the more loaded of two targets by two choices', (t) => {
+  it('never pick the most loaded target by two choices', (t) => {
     const light = fakeTarget({ reportedLoad: 1 })
     const heavy = fakeTarget({ reportedLoad: 9 })
     const choose = POLICIES.twoChoicesReported()
@@ -167,7 +167,7 @@
     t.true(order.indexOf(50) <= 4 && order.indexOf(51) <= 4)
   })
 
-  it('refuses from the longest team of the lowest priority when the queue is full, not the new request', async (t) => {
+  it('refuses a request of the longest team queue of the lowest priority when the queue is full', async (t) => {
     const limiter = createTestLimiter(3)
     await limiter.admit(ask('normal'))
     const flood = [1, 2, 3].map(() => limiter.admit(ask('normal', 'flood')))
--- a/src/entry/chooser.ts
+++ b/src/entry/chooser.ts
@@ -1,7 +1,8 @@
 /**
- * Policies for choosing a target, by name. The default is `twoChoices`: the less loaded of
- * two targets drawn at random, so that entries with the same outdated reports do not all
- * send to the same target. The other policies leave out a part of this, for comparison.
+ * Policies for choosing a target, by name. The default is `twoChoices`: of two targets drawn
+ * at random, the one with fewer requests of this entry in flight. Reported loads are not
+ * used, because they are outdated and would draw all entries to the same target
+ * (docs/measurements.md). The other policies are for comparison.
  */
 import { monotonicMs } from '../shared/index.js'
 import { MAX_EXCLUDED_SHARE } from './constants.js'
--- a/src/entry/fairQueue.ts
+++ b/src/entry/fairQueue.ts
@@ -21,7 +21,7 @@
   pass: number
 }
 
-/** Waiting requests in the order of their service. */
+/** Waiting requests in the order in which they are served. */
 export interface FairQueue<T extends QueuedRequest> {
   size(): number
   add(item: T): void
--- a/src/entry/router.ts
+++ b/src/entry/router.ts
@@ -216,7 +216,7 @@
     }
   }
 
-  /** Claims the id, again for some time while its owner is being replaced. */
+  /** Claims the id, and repeats the claim a few times while its owner is being replaced. */
   async function claimOnce({ call, cancellation }: Exchange): Promise<Verdict> {
     const token = nanoid()
     let verdict = await opts.once.begin(call.id, token)
--- a/src/keeper/__tests__/planning.spec.ts
+++ b/src/keeper/__tests__/planning.spec.ts
@@ -321,7 +321,7 @@
   const out = (hall: string): Map<string, BudgetRow> =>
     new Map([['s', { out: [{ hall, vm: 'x', operation: 'o', count: 1 }] }]])
 
-  it('allows instances up to the budget, counting all halls', (t) => {
+  it('allows stopping instances up to the budget, counting all halls', (t) => {
     t.is(budgetShortage({ ...base, jobs: both, budgets: new Map() }, ['s']), undefined)
     t.regex(
       budgetShortage({ ...base, jobs: both, budgets: out('other') }, ['s'])!,
--- a/src/keeper/registration.ts
+++ b/src/keeper/registration.ts
@@ -8,7 +8,7 @@
 import type { KeeperContext } from './context.js'
 import type { FleetState, Versioned } from './fleetState.js'
 
-/** Time after which a VM missing from the list is gone, in ms, as the list lags. */
+/** Time for which a VM must be missing before it counts as gone, in ms: the list may lag. */
 const GONE_AFTER_MS = 5000
 
 /**
--- a/src/node/fleetReports.ts
+++ b/src/node/fleetReports.ts
@@ -19,7 +19,8 @@
   async function send(service: string): Promise<void> {
     const owner = owners.local.service(service)
     if (!owner) return
-    // The next owner of the fleet starts without reports, and so evacuates nothing yet.
+    // While the fleet has no owner, nothing is evacuated: the next owner starts without reports, so
+    // it has none to act on.
     if (!calls.hasFleetOwner()) return owner.evacuate(NO_EVACUATION)
     const answer = await calls.reportToFleet(owner.report())
     if (answer) owner.evacuate(answer)
@@ -39,7 +40,8 @@
       await sleep(REPORT_INTERVAL_MS, stopping.signal)
     }
   }
-  // Reporting a jump in demand at once saves half of the interval on average, when VMs matter most.
+  // VMs are needed most after a jump in demand; reporting it at once saves half of the interval on
+  // average.
   owners.onDemandGrown((service) => {
     if (!stopping.signal.aborted) void reportOne(service)
   })
--- a/src/node/ownerServices.ts
+++ b/src/node/ownerServices.ts
@@ -1,4 +1,4 @@
-/** Services for owning services on this node, and for calls between owners on different nodes. */
+/** Kernel services with which a node owns services and calls the owners on other nodes. */
 import { nanoid } from 'nanoid'
 import type { NodeConfig } from '../config/index.js'
 import type { ConfigurationHolder } from '../directory/index.js'
--- a/src/storeAccess/__tests__/storeAccess.spec.ts
+++ b/src/storeAccess/__tests__/storeAccess.spec.ts
@@ -135,8 +135,8 @@
     })
   })
 
-  // If a store resets connections for 3.5 s and commits are still sent, each new job runs into the
-  // next reset, and 155 callers are told that their job may have been stored.
+  // Guards against commits that are sent while the store resets connections: for 3.5 s each new
+  // job ran into the next reset, and 155 callers were told that their job may have been stored.
   describe('store that breaks connections', () => {
     it('is sent no commits whose outcome would be unknown', async (t) => {
       const { table, storeOf, loggedNames } = startNodes(t, ['a'])
--- a/src/storeAccess/circuitBreaker.ts
+++ b/src/storeAccess/circuitBreaker.ts
@@ -26,7 +26,7 @@
 export interface CircuitBreaker {
   /** Makes a call; `waitMs` is the time for which the store may delay its answer on request. */
   run(call: () => Promise<StoreAnswer>, waitMs?: number): Promise<StoreAnswer>
-  /** Records that bytes arrived from the store, which is then not silent, even in a long answer. */
+  /** Records that bytes arrived: the store is not silent, however long its whole answer takes. */
   noteBytes(): void
   stop(): void
 }
--- a/src/storeAccess/constants.ts
+++ b/src/storeAccess/constants.ts
@@ -15,7 +15,7 @@
  * commits are sent whose outcome would be unknown.
  */
 export const BROKEN_WAIT_MS = 60
-/** Interval between probes of an unusable store; short compared with a caller's 3 s. */
+/** Interval between probes of an unusable store; short compared with the 3 s of a caller. */
 export const PROBE_MS = 200
 /** Time-out of a relayed call: the peer's own wait for the store, plus the round trip to it. */
 export const RELAY_TIMEOUT_MS = 1000
